--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -289,7 +289,7 @@
   if (result.end == turn_ledger::CallEnd::kOverloaded) {
     state_->log.Write(line.Text("verdict", "overloaded"));
     co_await Refuse("the turn ledger is overloaded");
-  } else if (result->verdict == turn_ledger::Verdict::kNewProgram) {
+  } else if (result->verdict == turn_ledger::Verdict::kUnknownProgram) {
     state_->log.Write(line.Text("verdict", "engines_full"));
     co_await AnswerOwn(503, "no new program can begin now", ProgramPause());
   } else if (result->verdict == turn_ledger::Verdict::kBudgetSpent) {
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -161,7 +161,7 @@
                   !state_.Knows(reserve->program);
   if (unwanted) {
     OperationResult result;
-    result.verdict = Verdict::kNewProgram;
+    result.verdict = Verdict::kUnknownProgram;
     Answer(requester, ReplyStatus::kDone, std::move(result));
   }
   return unwanted;
--- a/src/turn_ledger/turn_state.cc
+++ b/src/turn_ledger/turn_state.cc
@@ -18,7 +18,7 @@
 
 OperationResult TurnState::Apply(const Command& command, consensus::EntryId place,
                                  bool with_history) {
-  now_ = std::max(now_, command.at);
+  now_ = std::max(now_, command.timestamp);
   if (now_ >= next_expiry_) {
     next_expiry_ = now_ + kExpiryInterval;
     Expire();
@@ -64,7 +64,7 @@
   result.spent = tokens.m_spent;
   result.reserved = tokens.reserved_tokens();
   if (tokens.m_settled.contains(reserve.turn)) {
-    result.verdict = Verdict::kSettledBefore;
+    result.verdict = Verdict::kAlreadySettled;
     return result;
   }
   bool repeated = tokens.m_reserved.contains(reserve.turn);
--- a/src/turn_ledger/types.h
+++ b/src/turn_ledger/types.h
@@ -108,12 +108,12 @@
 
 /// One entry of the replicated log.
 struct Command {
-  LedgerMillis at = 0;
+  LedgerMillis timestamp = 0;
   Operation operation;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(at, operation);
+    archive(timestamp, operation);
   }
 };
 
@@ -121,8 +121,8 @@
   kDone,
   kBudgetSpent,      ///< Nothing was reserved: the program's budget doesn't hold the turn.
   kUnknownPrevious,  ///< Nothing was reserved: there is no such turn.
-  kSettledBefore,    ///< The turn was given up already: it must not run.
-  kNewProgram,       ///< Nothing was reserved: only programs under way were asked for.
+  kAlreadySettled,   ///< The turn was given up already: it must not run.
+  kUnknownProgram,   ///< Nothing was reserved: only programs under way were asked for.
 };
 
 struct OperationResult {
--- a/tests/turn_ledger/turn_state_test.cc
+++ b/tests/turn_ledger/turn_state_test.cc
@@ -136,7 +136,7 @@
 TEST(TurnStateTest, ReservationThatArrivesAfterItWasGivenUpIsRefused) {
   LoggedState state;
   state.Apply(Settle("a", 0));
-  EXPECT_EQ(state.Apply(Reserve("a", 60, 100)).verdict, Verdict::kSettledBefore);
+  EXPECT_EQ(state.Apply(Reserve("a", 60, 100)).verdict, Verdict::kAlreadySettled);
 }
 
 TEST(TurnStateTest, RepeatedSettlementChargesOnce) {
