--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -158,7 +158,7 @@
   }
   const auto* reserve = std::get_if<ReserveTurn>(&request.operation);
   bool unwanted = reserve != nullptr && request.known_programs_only && raft_.LeaderIsCurrent() &&
-                  !state_.Knows(reserve->program);
+                  !state_.HasProgram(reserve->program);
   if (unwanted) {
     OperationResult result;
     result.verdict = Verdict::kUnknownProgram;
@@ -360,7 +360,7 @@
   }
   bool asked_here = !proposal.empty();
   OperationResult result = state_.Apply(*command, {entry.index, entry.term}, asked_here);
-  for (consensus::LogIndex expired : state_.TakeExpired()) {
+  for (consensus::LogIndex expired : state_.TakeExpiredEntries()) {
     forgotten_.push_back(expired);
   }
   // A leader's clock starts at its log's end, which it may only have applied now.
@@ -397,7 +397,7 @@
   if (under_way.encoder.done()) {
     const consensus::Snapshot& whole = under_way.snapshot;
     step.finished = consensus::Snapshot{whole.index, whole.term, whole.configuration, ""};
-    step.kept = state_.EntriesInUse(whole.index);
+    step.kept = state_.ReferencedEntries(whole.index);
   }
   return step;
 }
@@ -410,7 +410,7 @@
 }
 
 void TurnReplica::NoteStored(const std::vector<consensus::LogIndex>& kept) {
-  std::vector<consensus::LogIndex> in_use = state_.EntriesInUse(raft_.snapshot_index());
+  std::vector<consensus::LogIndex> in_use = state_.ReferencedEntries(raft_.snapshot_index());
   for (consensus::LogIndex index : kept) {
     if (!std::binary_search(in_use.begin(), in_use.end(), index)) {
       forgotten_.push_back(index);
--- a/src/turn_ledger/turn_state.cc
+++ b/src/turn_ledger/turn_state.cc
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-OperationResult TurnState::Apply(const Command& command, consensus::EntryId place,
+OperationResult TurnState::Apply(const Command& command, consensus::EntryId entry_id,
                                  bool with_history) {
   now_ = std::max(now_, command.timestamp);
   if (now_ >= next_expiry_) {
@@ -30,7 +30,7 @@
     return Find(*find, with_history);
   }
   if (const auto* settle = std::get_if<SettleTurn>(&command.operation)) {
-    return Settle(*settle, place);
+    return Settle(*settle, entry_id);
   }
   return {};
 }
@@ -41,7 +41,7 @@
     result.verdict = Verdict::kUnknownPrevious;
     return result;
   }
-  Prolong(find.turn, now_ + find.retention_ms + kRetentionMargin);
+  ExtendRetention(find.turn, now_ + find.retention_ms + kRetentionMargin);
   if (with_history) {
     AddHistory(find.turn, result);
   }
@@ -57,7 +57,7 @@
       return result;
     }
     result.previous_place = previous->second.m_place;
-    Prolong(reserve.previous, now_ + reserve.retention_ms + kRetentionMargin);
+    ExtendRetention(reserve.previous, now_ + reserve.retention_ms + kRetentionMargin);
   }
   account& tokens = accounts_[reserve.program];
   tokens.m_expires = std::max(tokens.m_expires, now_ + reserve.retention_ms + kRetentionMargin);
@@ -80,7 +80,7 @@
   return result;
 }
 
-OperationResult TurnState::Settle(const SettleTurn& settle, consensus::EntryId place) {
+OperationResult TurnState::Settle(const SettleTurn& settle, consensus::EntryId entry_id) {
   OperationResult result;
   account& tokens = accounts_[settle.program];
   tokens.m_expires = std::max(tokens.m_expires, now_ + settle.retention_ms + kRetentionMargin);
@@ -89,7 +89,7 @@
     tokens.m_spent += settle.tokens;
     tokens.m_reserved.erase(settle.turn);
     if (settle.completed) {
-      Keep(settle, place);
+      StoreTurn(settle, entry_id);
     }
   }
   result.spent = tokens.m_spent;
@@ -97,20 +97,20 @@
   return result;
 }
 
-void TurnState::Keep(const SettleTurn& settle, consensus::EntryId place) {
+void TurnState::StoreTurn(const SettleTurn& settle, consensus::EntryId entry_id) {
   kept_turn kept;
   kept.m_previous = settle.completed->previous;
-  kept.m_entry = place;
+  kept.m_entry = entry_id;
   kept.m_place = settle.completed->place;
   kept.m_bytes =
       static_cast<std::uint32_t>(settle.completed->input.size() + settle.completed->output.size());
   kept.m_expires = now_ + settle.retention_ms + kRetentionMargin;
-  Prolong(kept.m_previous, kept.m_expires);
+  ExtendRetention(kept.m_previous, kept.m_expires);
   turn_bytes_ += kept.m_bytes;
   turns_[settle.turn] = std::move(kept);
 }
 
-void TurnState::Prolong(const std::optional<TurnId>& turn, LedgerMillis until) {
+void TurnState::ExtendRetention(const std::optional<TurnId>& turn, LedgerMillis until) {
   std::optional<TurnId> next = turn;
   while (next) {
     auto found = turns_.find(*next);
@@ -124,13 +124,13 @@
 
 std::vector<const kept_turn*> TurnState::ChainOf(const TurnId& turn,
                                                  const std::optional<TurnId>& known,
-                                                 bool& met_known) const {
+                                                 bool& reached_known) const {
   std::vector<const kept_turn*> chain;
   std::optional<TurnId> next = turn;
-  met_known = false;
+  reached_known = false;
   while (next) {
     if (next == known) {
-      met_known = true;
+      reached_known = true;
       break;
     }
     auto found = turns_.find(*next);
@@ -160,8 +160,8 @@
 }
 
 void TurnState::AddHistory(const TurnId& turn, OperationResult& result) const {
-  bool met_known = false;
-  std::optional<std::string> text = ReadTexts(ChainOf(turn, std::nullopt, met_known));
+  bool reached_known = false;
+  std::optional<std::string> text = ReadTexts(ChainOf(turn, std::nullopt, reached_known));
   result.history_missing = !text.has_value();
   result.history = std::move(text).value_or("");
 }
@@ -173,15 +173,16 @@
   if (!turns_.contains(request.m_turn)) {
     return reply;
   }
-  bool met_known = false;
-  std::optional<std::string> text = ReadTexts(ChainOf(request.m_turn, request.m_known, met_known));
+  bool reached_known = false;
+  std::optional<std::string> text =
+      ReadTexts(ChainOf(request.m_turn, request.m_known, reached_known));
   reply.m_found = text.has_value();
-  reply.m_after_known = reply.m_found && met_known;
+  reply.m_after_known = reply.m_found && reached_known;
   reply.m_text = std::move(text).value_or("");
   return reply;
 }
 
-std::vector<consensus::LogIndex> TurnState::EntriesInUse(consensus::LogIndex last) const {
+std::vector<consensus::LogIndex> TurnState::ReferencedEntries(consensus::LogIndex last) const {
   std::vector<consensus::LogIndex> entries;
   for (const auto& [id, kept] : turns_) {
     if (kept.m_entry.index <= last) {
--- a/src/turn_ledger/turn_state.h
+++ b/src/turn_ledger/turn_state.h
@@ -27,9 +27,9 @@
   explicit TurnState(EntryReader read_entry) : read_entry_(std::move(read_entry)) {}
 
   /// Applies one command. Commands repeat: a lost answer's request is sent again.
-  /// @param place the command's entry in the log.
+  /// @param entry_id the command's entry in the log.
   /// @param with_history whether the result needs the chain that was asked for.
-  OperationResult Apply(const Command& command, consensus::EntryId place, bool with_history);
+  OperationResult Apply(const Command& command, consensus::EntryId entry_id, bool with_history);
 
   /// @return the state as it is now; later commands don't change it.
   state_image Capture() const;
@@ -42,30 +42,30 @@
   chain_reply ReadChain(const chain_request& request) const;
 
   /// @return whether the program has an account: it reserved tokens before.
-  bool Knows(const ProgramId& program) const { return accounts_.contains(program); }
+  bool HasProgram(const ProgramId& program) const { return accounts_.contains(program); }
   LedgerMillis now() const { return now_; }
   std::size_t programs() const { return accounts_.size(); }
   std::size_t turns() const { return turns_.size(); }
   std::uint64_t turn_bytes() const { return turn_bytes_; }
   /// @return the entries up to `last` that texts of kept turns lie in, in rising order.
-  std::vector<consensus::LogIndex> EntriesInUse(consensus::LogIndex last) const;
+  std::vector<consensus::LogIndex> ReferencedEntries(consensus::LogIndex last) const;
   /// @return the entries whose texts expired since the last call.
-  std::vector<consensus::LogIndex> TakeExpired() { return std::exchange(expired_, {}); }
+  std::vector<consensus::LogIndex> TakeExpiredEntries() { return std::exchange(expired_, {}); }
 
  private:
   OperationResult Reserve(const ReserveTurn& reserve, bool with_history);
-  OperationResult Settle(const SettleTurn& settle, consensus::EntryId place);
+  OperationResult Settle(const SettleTurn& settle, consensus::EntryId entry_id);
   OperationResult Find(const FindTurn& find, bool with_history);
-  void Keep(const SettleTurn& settle, consensus::EntryId place);
+  void StoreTurn(const SettleTurn& settle, consensus::EntryId entry_id);
   /// Keeps a turn and its whole chain at least until `until`.
-  void Prolong(const std::optional<TurnId>& turn, LedgerMillis until);
+  void ExtendRetention(const std::optional<TurnId>& turn, LedgerMillis until);
   /// Puts the chain up to and with `turn` into the result.
   void AddHistory(const TurnId& turn, OperationResult& result) const;
   /// @return the turns' texts joined, or nothing when one can't be read.
   std::optional<std::string> ReadTexts(const std::vector<const kept_turn*>& chain) const;
   /// @return the turns of the chain, oldest first, from the one after `known` on (or all).
   std::vector<const kept_turn*> ChainOf(const TurnId& turn, const std::optional<TurnId>& known,
-                                        bool& met_known) const;
+                                        bool& reached_known) const;
   void Expire();
 
   EntryReader read_entry_;
--- a/tests/turn_ledger/turn_state_test.cc
+++ b/tests/turn_ledger/turn_state_test.cc
@@ -179,7 +179,7 @@
   state.Apply(Settle("far", 0, 400000));
   EXPECT_EQ(state.state().turns(), 0U);
   EXPECT_EQ(state.state().turn_bytes(), 0U);
-  EXPECT_THAT(state.state().TakeExpired(), ::testing::UnorderedElementsAre(1U, 2U));
+  EXPECT_THAT(state.state().TakeExpiredEntries(), ::testing::UnorderedElementsAre(1U, 2U));
 }
 
 RC_GTEST_PROP(TurnStatePropertyTest, NeverOverGrantsAndSnapshotsAreEqual, ()) {
