--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_emptying.cc
@@ -110,9 +110,9 @@
     {
         GroupId group = turn_ledger::group_at(index);
         const turn_ledger::TurnReplica* replica = m_find(group);
-        bool own = replica != nullptr && replica->LeadsCurrent();
+        bool own = replica != nullptr && replica->IsCurrentLeader();
         bool emptied =
-            own ? replica->MayTakeAway(machine) : m_directory.items().contains(note_key(machine, group));
+            own ? replica->CanRemoveMachine(machine) : m_directory.items().contains(note_key(machine, group));
         if (!emptied)
         {
             return false;
@@ -147,9 +147,9 @@
         std::vector<std::string> asked_for = retiring();
         bool asked = std::find(asked_for.begin(), asked_for.end(), name) != asked_for.end();
         const turn_ledger::TurnReplica* replica = m_find(group);
-        if (replica != nullptr && replica->LeadsCurrent())
+        if (replica != nullptr && replica->IsCurrentLeader())
         {
-            bool emptied = asked && replica->MayTakeAway(name);
+            bool emptied = asked && replica->CanRemoveMachine(name);
             co_await note(group, name, emptied);
         }
     }
@@ -170,7 +170,7 @@
             co_await note_group(turn_ledger::group_at(index), names);
         }
         const turn_ledger::TurnReplica* first = m_find(reporter);
-        if (first != nullptr && first->LeadsCurrent())
+        if (first != nullptr && first->IsCurrentLeader())
         {
             co_await report_statuses(reported);
         }
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -214,7 +214,7 @@
   for (auto& [group, stored_group] : stored.groups) {
     StartReplica(group, {stored_group.hard_state, std::move(stored_group.snapshot),
                          std::move(stored_group.entries)})
-        .NoteStored(stored_group.kept);
+        .OnStoredEntries(stored_group.kept);
   }
   return {};
 }
@@ -234,7 +234,7 @@
       [this, group](consensus::EntryId entry) { return ReadStored(group, entry); }, SystemSeed(),
       SteadyNow());
   for (const auto& [name, machine] : peers_.machines()) {
-    replica->OnMachine(SteadyNow(), machine, /*spoke=*/false);
+    replica->UpdateMachine(SteadyNow(), machine, /*self_reported=*/false);
   }
   replica->SetRetiring(emptying_.retiring());
   replicas_[group] = std::move(replica);
@@ -291,11 +291,11 @@
     write.snapshot = ready.snapshot_to_install;
     write.snapshot_replaces_log = ready.snapshot_to_install.has_value();
     if (write.snapshot) {
-      write.kept = turn_ledger::TurnReplica::KeptBy(*write.snapshot);
+      write.kept = turn_ledger::TurnReplica::EntriesReferencedBy(*write.snapshot);
     }
     write.entries = std::move(ready.entries_to_store);
     if (write.hard_state || write.snapshot || !write.entries.empty()) {
-      write.forgotten = replica->TakeForgotten();
+      write.forgotten = replica->TakeUnreferencedEntries();
       writes.push_back(std::move(write));
     }
     readies.emplace_back(group, std::move(ready));
@@ -400,7 +400,7 @@
   std::uint64_t used = allocated_bytes();
   bool full = memory_.judge(used);
   for (auto& [group, replica] : replicas_) {
-    replica->SetFull(full);
+    replica->SetDiskFull(full);
   }
   if (full != was_full) {
     log_.Write(Line(full ? "memory_full" : "memory_free")
@@ -426,7 +426,7 @@
   }
   // One group's part a tick; a failing disk ends all replicas.
   for (auto& [group, replica] : replicas_) {
-    if (replica->TakesSnapshot()) {
+    if (replica->IsTakingSnapshot()) {
       work_.timed(work_kind::snapshot_steps, [this, group = group, &replica = *replica] {
         StoreSnapshotStep(group, replica);
       });
@@ -464,7 +464,7 @@
   stop_deadline_ = SteadyNow() + kHandOverLimit;
   log_.Write(Line("stopping"));
   for (auto& [group, replica] : replicas_) {
-    replica->HandOver();
+    replica->TransferLeadership();
   }
 }
 
@@ -478,10 +478,10 @@
 }
 
 void LedgerRole::LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica) {
-  if (replica.unreadable() && halted_.insert(group).second) {
+  if (replica.unreadable_index() && halted_.insert(group).second) {
     log_.Write(Line("replica_halted")
                    .Number("group", group.value)
-                   .Number("index", static_cast<std::int64_t>(*replica.unreadable())));
+                   .Number("index", static_cast<std::int64_t>(*replica.unreadable_index())));
   }
 }
 
@@ -537,7 +537,7 @@
   turn_ledger::chain_reply reply;
   reply.m_request = request.m_request;
   const turn_ledger::TurnReplica* replica = Find(request.m_group);
-  if (replica != nullptr && !replica->unreadable()) {
+  if (replica != nullptr && !replica->unreadable_index()) {
     reply = replica->state().ReadChain(request);
     work_.add_bytes(work_kind::chain_reads, reply.m_text.size());
   }
@@ -596,7 +596,7 @@
   }
   if (heard_now || changed) {
     for (auto& [group, replica] : replicas_) {
-      replica->OnMachine(SteadyNow(), machine, heard_now);
+      replica->UpdateMachine(SteadyNow(), machine, heard_now);
     }
   }
 }
@@ -652,7 +652,7 @@
     }
     log_.Write(Line("machine_refuses").Text("machine", name));
     for (auto& [group, replica] : replicas_) {
-      replica->OnDead(SteadyNow(), machine.identity);
+      replica->OnMachineDown(SteadyNow(), machine.identity);
     }
   }
 }
--- a/src/turn_ledger/membership_planner.cc
+++ b/src/turn_ledger/membership_planner.cc
@@ -185,7 +185,8 @@
   return view.leader;
 }
 
-bool MayTakeAway(const GroupView& view, const std::string& machine, const PlannerOptions& options) {
+bool CanRemoveMachine(const GroupView& view, const std::string& machine,
+                      const PlannerOptions& options) {
   for (const MachineView& candidate : view.machines) {
     bool holds = view.configuration.IsVoter(candidate.identity) ||
                  view.configuration.IsLearner(candidate.identity);
--- a/src/turn_ledger/membership_planner.h
+++ b/src/turn_ledger/membership_planner.h
@@ -54,6 +54,7 @@
 
 /// @return true when `machine` holds no replica and the others hold as many as were aimed at, so
 /// that taking it away loses nothing.
-bool MayTakeAway(const GroupView& view, const std::string& machine, const PlannerOptions& options);
+bool CanRemoveMachine(const GroupView& view, const std::string& machine,
+                      const PlannerOptions& options);
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -34,14 +34,14 @@
   if (snapshot.index > 0) {
     RestoreState(snapshot);
   }
-  OnMachine(now, self);
+  UpdateMachine(now, self);
 }
 
 // ---- Inputs ----
 
 void TurnReplica::Tick(absl::Time now) {
   now_ = std::max(now_, now);
-  if (unreadable_) {
+  if (unreadable_index_) {
     return;
   }
   raft_.Tick(now_);
@@ -54,7 +54,7 @@
 
 void TurnReplica::OnLogMessage(absl::Time now, NodeId from, const consensus::RaftMessage& message) {
   now_ = std::max(now_, now);
-  if (unreadable_) {
+  if (unreadable_index_) {
     return;
   }
   const auto* request = std::get_if<consensus::SnapshotRequest>(&message);
@@ -67,12 +67,12 @@
   WatchLeadership();
 }
 
-void TurnReplica::OnMachine(absl::Time now, const Machine& machine, bool spoke) {
+void TurnReplica::UpdateMachine(absl::Time now, const Machine& machine, bool self_reported) {
   now_ = std::max(now_, now);
   bool name_known = std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     return entry.second.name == machine.name;
   });
-  if (!spoke && (name_known || superseded_.contains(machine.identity))) {
+  if (!self_reported && (name_known || superseded_.contains(machine.identity))) {
     return;
   }
   superseded_.erase(machine.identity);
@@ -91,12 +91,12 @@
   heard_[machine.identity] = now_;
 }
 
-void TurnReplica::OnDead(absl::Time now, NodeId identity) {
+void TurnReplica::OnMachineDown(absl::Time now, NodeId identity) {
   now_ = std::max(now_, now);
   raft_.OnMemberDead(now_, identity);
 }
 
-void TurnReplica::HandOver() {
+void TurnReplica::TransferLeadership() {
   if (!raft_.IsLeader()) {
     return;
   }
@@ -115,7 +115,7 @@
                             const LedgerRequest& request, wire::Layout layout) {
   now_ = std::max(now_, now);
   Requester requester{gateway, request.request, layout};
-  if (!raft_.IsLeader() || unreadable_) {
+  if (!raft_.IsLeader() || unreadable_index_) {
     Answer(requester, ReplyStatus::kNotLeader);
     return;
   }
@@ -126,7 +126,7 @@
     return;  // Asked again out of impatience: one entry in the log answers both.
   }
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
-  if (proposals_.size() >= options_.max_pending || (!settlement && (full_ || Overloaded()))) {
+  if (proposals_.size() >= options_.max_pending || (!settlement && (disk_full_ || Overloaded()))) {
     Answer(requester, ReplyStatus::kOverloaded);
     return;
   }
@@ -253,9 +253,9 @@
   }
 }
 
-bool TurnReplica::MayTakeAway(const std::string& machine) const {
+bool TurnReplica::CanRemoveMachine(const std::string& machine) const {
   return raft_.LeaderIsCurrent() && raft_.ConfigurationIsCommitted() &&
-         turn_ledger::MayTakeAway(View(), machine, options_.planner);
+         turn_ledger::CanRemoveMachine(View(), machine, options_.planner);
 }
 
 // ---- Snapshots to other members ----
@@ -300,7 +300,8 @@
   });
 }
 
-std::vector<consensus::LogIndex> TurnReplica::KeptBy(const consensus::Snapshot& snapshot) {
+std::vector<consensus::LogIndex> TurnReplica::EntriesReferencedBy(
+    const consensus::Snapshot& snapshot) {
   std::vector<consensus::LogIndex> kept;
   for (const consensus::EntryId& entry : entries_of(snapshot)) {
     kept.push_back(entry.index);
@@ -325,7 +326,7 @@
   for (const consensus::Entry& entry : ready.committed) {
     ApplyEntry(entry);
   }
-  if (!unreadable_) {
+  if (!unreadable_index_) {
     BeginSnapshotIfDue();
   }
 }
@@ -337,13 +338,13 @@
 }
 
 void TurnReplica::Halt(consensus::LogIndex unreadable) {
-  unreadable_ = unreadable;
+  unreadable_index_ = unreadable;
   GiveUpProposals();
   transfers_.clear();
 }
 
 void TurnReplica::ApplyEntry(const consensus::Entry& entry) {
-  if (unreadable_) {
+  if (unreadable_index_) {
     return;
   }
   snapshots_.NoteApplied(entry);
@@ -361,7 +362,7 @@
   bool asked_here = !proposal.empty();
   OperationResult result = state_.Apply(*command, {entry.index, entry.term}, asked_here);
   for (consensus::LogIndex expired : state_.TakeExpiredEntries()) {
-    forgotten_.push_back(expired);
+    unreferenced_entries_.push_back(expired);
   }
   // A leader's clock starts at its log's end, which it may only have applied now.
   if (raft_.IsLeader()) {
@@ -409,18 +410,18 @@
   }
 }
 
-void TurnReplica::NoteStored(const std::vector<consensus::LogIndex>& kept) {
+void TurnReplica::OnStoredEntries(const std::vector<consensus::LogIndex>& kept) {
   std::vector<consensus::LogIndex> in_use = state_.ReferencedEntries(raft_.snapshot_index());
   for (consensus::LogIndex index : kept) {
     if (!std::binary_search(in_use.begin(), in_use.end(), index)) {
-      forgotten_.push_back(index);
+      unreferenced_entries_.push_back(index);
     }
   }
 }
 
-std::vector<consensus::LogIndex> TurnReplica::TakeForgotten() {
+std::vector<consensus::LogIndex> TurnReplica::TakeUnreferencedEntries() {
   // Later entries are part of the log. The snapshot that takes its place leaves them out.
-  std::vector<consensus::LogIndex> taken = std::exchange(forgotten_, {});
+  std::vector<consensus::LogIndex> taken = std::exchange(unreferenced_entries_, {});
   std::erase_if(taken, [&](consensus::LogIndex index) { return index > raft_.snapshot_index(); });
   return taken;
 }
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -72,47 +72,48 @@
   void OnLogMessage(absl::Time now, NodeId from, const consensus::RaftMessage& message);
   void OnRequest(absl::Time now, const wire::Endpoint& gateway, const LedgerRequest& request,
                  wire::Layout layout = wire::kNewestLayout);
-  /// Something was heard of `machine`. @param spoke it said so itself: then this is its present
-  /// identity. What others tell may be old; it counts only while nothing is known of that name.
-  void OnMachine(absl::Time now, const Machine& machine, bool spoke = true);
+  /// Something was heard of `machine`. @param self_reported it said so itself: then this is its
+  /// present identity. What others tell may be old; it counts only while nothing is known of that
+  /// name.
+  void UpdateMachine(absl::Time now, const Machine& machine, bool self_reported = true);
   /// The process behind `identity` is known to be dead.
-  void OnDead(absl::Time now, NodeId identity);
+  void OnMachineDown(absl::Time now, NodeId identity);
   /// Machines that the operator wants emptied.
   void SetRetiring(std::vector<std::string> names) { retiring_ = std::move(names); }
   /// A full machine's leader takes no new reservations; settlements free what is reserved.
-  void SetFull(bool full) { full_ = full; }
+  void SetDiskFull(bool disk_full) { disk_full_ = disk_full; }
   /// A planned stop: hands leadership on, if it leads.
-  void HandOver();
+  void TransferLeadership();
 
   bool HasWork() const { return raft_.HasReady() || !replies_.empty(); }
   /// Snapshots are not among its messages: they go by `NextTransferParts`.
   consensus::Ready TakeReady();
   /// @return for a snapshot to be installed, the entries before it that must stay readable.
-  static std::vector<consensus::LogIndex> KeptBy(const consensus::Snapshot& snapshot);
+  static std::vector<consensus::LogIndex> EntriesReferencedBy(const consensus::Snapshot& snapshot);
   /// @param ready whether a member's connection takes more now.
   /// @return the next part of every snapshot under way to another member.
   std::vector<consensus::Outbound> NextTransferParts(std::size_t most_bytes,
                                                      const std::function<bool(NodeId)>& ready);
   /// What the disk was found to keep at the start: what nothing refers to is forgotten.
-  void NoteStored(const std::vector<consensus::LogIndex>& kept);
+  void OnStoredEntries(const std::vector<consensus::LogIndex>& kept);
   /// @return stored entries that nothing refers to any more; all lie before the snapshot.
-  std::vector<consensus::LogIndex> TakeForgotten();
+  std::vector<consensus::LogIndex> TakeUnreferencedEntries();
   /// Applies what `ready` committed, after it was stored. Begins a snapshot when one is due.
   void Apply(const consensus::Ready& ready);
   /// While a snapshot is under way. @return its next part, of about `most_bytes`. Between the
   /// steps the replica goes on as ever.
   std::optional<SnapshotStep> NextSnapshotStep(std::size_t most_bytes);
-  bool TakesSnapshot() const { return snapshot_under_way_.has_value(); }
+  bool IsTakingSnapshot() const { return snapshot_under_way_.has_value(); }
   /// The last step is stored: the log up to the snapshot is dropped.
   void FinishSnapshot();
   std::vector<ReplyTo> TakeReplies();
 
   /// @return true when this leader knows that `machine` may be taken away.
-  bool MayTakeAway(const std::string& machine) const;
-  bool LeadsCurrent() const { return raft_.LeaderIsCurrent() && !unreadable_; }
+  bool CanRemoveMachine(const std::string& machine) const;
+  bool IsCurrentLeader() const { return raft_.LeaderIsCurrent() && !unreadable_index_; }
   /// @return the index of an entry or a snapshot that this build can't read: the replica is then as
   /// good as down, and neither leads nor answers. Nothing, as long as it has read all.
-  std::optional<consensus::LogIndex> unreadable() const { return unreadable_; }
+  std::optional<consensus::LogIndex> unreadable_index() const { return unreadable_index_; }
   const consensus::Raft& raft() const { return raft_; }
   const TurnState& state() const { return state_; }
   /// Snapshots from a leader that were passed over, since entries that they name were missing.
@@ -171,11 +172,11 @@
   consensus::SnapshotSchedule snapshots_;
   std::optional<SnapshotUnderWay> snapshot_under_way_;
 
-  std::map<NodeId, snapshot_transfer> transfers_;  // Of a leader, to other members.
-  std::vector<consensus::LogIndex> forgotten_;     // To be told to the disk.
+  std::map<NodeId, snapshot_transfer> transfers_;          // Of a leader, to other members.
+  std::vector<consensus::LogIndex> unreferenced_entries_;  // To be told to the disk.
   std::uint64_t incomplete_snapshots_ = 0;
-  bool full_ = false;
-  std::optional<consensus::LogIndex> unreadable_;  ///< See `unreadable`.
+  bool disk_full_ = false;
+  std::optional<consensus::LogIndex> unreadable_index_;  ///< See `unreadable_index`.
 
   std::map<NodeId, Machine> machines_;
   std::map<NodeId, absl::Time> heard_;
--- a/tests/platform/gateway_contract_test.cc
+++ b/tests/platform/gateway_contract_test.cc
@@ -233,7 +233,7 @@
   EXPECT_EQ(world.Ask(plain).status, 200U);
   world.disk().fails = false;
   ASSERT_TRUE(world.RunUntil([&] {
-    return world.ledger().replica() != nullptr && world.ledger().replica()->LeadsCurrent();
+    return world.ledger().replica() != nullptr && world.ledger().replica()->IsCurrentLeader();
   }));
   request.id = "attempt-2";
   EXPECT_EQ(world.Ask(request).status, 200U);
--- a/tests/platform/support/platform_world.cc
+++ b/tests/platform/support/platform_world.cc
@@ -119,7 +119,7 @@
   }
   StartRoles();
   bool serves = RunUntil([&] {
-    bool leads = ledger_->replica() != nullptr && ledger_->replica()->LeadsCurrent();
+    bool leads = ledger_->replica() != nullptr && ledger_->replica()->IsCurrentLeader();
     return leads && gateway_->ready() == configured && gateway_->state().ledger->has_replicas() &&
            gateway_->state().runners.all().size() == 2;
   });
--- a/tests/turn_ledger/later_build_test.cc
+++ b/tests/turn_ledger/later_build_test.cc
@@ -61,7 +61,7 @@
   restored.entries = {{1, 1, consensus::EntryKind::kCommand, LaterCommand()}};
   restored.hard_state = {1, kNoNode};
   Start(restored);
-  EXPECT_FALSE(replica_->LeadsCurrent());
+  EXPECT_FALSE(replica_->IsCurrentLeader());
   EXPECT_EQ(Ask(FindTurn{TurnId("t"), 1000}), ReplyStatus::kNotLeader);
   EXPECT_EQ(Ask(Probe{}), ReplyStatus::kNotLeader);
 }
@@ -73,7 +73,7 @@
   restored.snapshot.data = "of a later build";
   restored.hard_state = {1, kNoNode};
   Start(restored);
-  EXPECT_FALSE(replica_->LeadsCurrent());
+  EXPECT_FALSE(replica_->IsCurrentLeader());
   EXPECT_EQ(Ask(FindTurn{TurnId("t"), 1000}), ReplyStatus::kNotLeader);
 }
 
@@ -83,7 +83,7 @@
                        wire::Encode(Command{1, FindTurn{TurnId("t"), 1000}})}};
   restored.hard_state = {1, kNoNode};
   Start(restored);
-  EXPECT_TRUE(replica_->LeadsCurrent());
+  EXPECT_TRUE(replica_->IsCurrentLeader());
   EXPECT_EQ(Ask(Probe{}), ReplyStatus::kDone);
 }
 
--- a/tests/turn_ledger/ledger_cluster_test.cc
+++ b/tests/turn_ledger/ledger_cluster_test.cc
@@ -60,7 +60,7 @@
     if (group != stored.groups.end()) {
       const storage::StoredGroup& found = group->second;
       Open(number, {found.hard_state, found.snapshot, found.entries});
-      replicas_[number]->NoteStored(found.kept);
+      replicas_[number]->OnStoredEntries(found.kept);
     }
   }
   void Kill(std::size_t number) {
@@ -118,7 +118,7 @@
 
   TurnReplica* Leader() {
     for (auto& replica : replicas_) {
-      if (replica && replica->LeadsCurrent()) {
+      if (replica && replica->IsCurrentLeader()) {
         return replica.get();
       }
     }
@@ -216,10 +216,10 @@
       write.snapshot = ready.snapshot_to_install;
       write.snapshot_replaces_log = ready.snapshot_to_install.has_value();
       if (write.snapshot) {
-        write.kept = TurnReplica::KeptBy(*write.snapshot);
+        write.kept = TurnReplica::EntriesReferencedBy(*write.snapshot);
       }
       write.entries = ready.entries_to_store;
-      write.forgotten = replica.TakeForgotten();
+      write.forgotten = replica.TakeUnreferencedEntries();
       Store(number, write);
       for (auto* list : {&ready.messages_before_store, &ready.messages_after_store}) {
         for (consensus::Outbound& outbound : *list) {
@@ -273,7 +273,7 @@
         bool open =
             from != to && IsUp(from) && replicas_[to] && !cut_.contains(from) && !cut_.contains(to);
         if (open) {
-          replicas_[to]->OnMachine(now_, MachineOf(from));
+          replicas_[to]->UpdateMachine(now_, MachineOf(from));
         }
       }
     }
@@ -399,7 +399,7 @@
   bool may_go = false;
   for (int step = 0; step < 100 && !may_go; ++step) {
     cluster.Run(absl::Milliseconds(50));
-    may_go = cluster.Leader() != nullptr && cluster.Leader()->MayTakeAway(cluster.NameOf(1));
+    may_go = cluster.Leader() != nullptr && cluster.Leader()->CanRemoveMachine(cluster.NameOf(1));
   }
   ASSERT_TRUE(may_go);
   cluster.Kill(1);
--- a/tests/turn_ledger/membership_planner_test.cc
+++ b/tests/turn_ledger/membership_planner_test.cc
@@ -116,18 +116,18 @@
 TEST(MembershipPlannerTest, EmptiedMachineMayGoOnlyWhenOthersHoldAsMany) {
   GroupView view = ThreeVoters();
   view.machines[1].retiring = true;
-  EXPECT_FALSE(MayTakeAway(view, "m2", {}));
+  EXPECT_FALSE(CanRemoveMachine(view, "m2", {}));
   EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "no spare: it must stay";
   view.machines.push_back(MakeMachine(4, "b"));
   view.configuration.voters.push_back(NodeId(4));
-  EXPECT_FALSE(MayTakeAway(view, "m2", {})) << "it still votes";
+  EXPECT_FALSE(CanRemoveMachine(view, "m2", {})) << "it still votes";
   auto step = PlanMembership(view, {});
   ASSERT_TRUE(step.has_value());
   EXPECT_FALSE(step->IsVoter(NodeId(2)));
   view.configuration = *step;
-  EXPECT_TRUE(MayTakeAway(view, "m2", {}));
+  EXPECT_TRUE(CanRemoveMachine(view, "m2", {}));
   view.machines[2].silent_for = absl::Seconds(10);
-  EXPECT_FALSE(MayTakeAway(view, "m2", {})) << "a holder of the rest is silent";
+  EXPECT_FALSE(CanRemoveMachine(view, "m2", {})) << "a holder of the rest is silent";
 }
 
 TEST(MembershipPlannerTest, LeaderThatIsToBeEmptiedRemovesItselfLast) {
--- a/tests/turn_ledger/turn_replica_test.cc
+++ b/tests/turn_ledger/turn_replica_test.cc
@@ -34,7 +34,7 @@
     replica_ = std::make_unique<TurnReplica>(
         self, options, restored,
         [this](consensus::EntryId entry) { return *disk_->ReadEntry(GroupId(1), entry); }, 1, now_);
-    for (int step = 0; step < 200 && !replica_->LeadsCurrent(); ++step) {
+    for (int step = 0; step < 200 && !replica_->IsCurrentLeader(); ++step) {
       now_ += absl::Milliseconds(20);
       replica_->Tick(now_);
       Pump();
@@ -69,7 +69,7 @@
 TEST_F(TurnReplicaTest, LargeStateIsStoredInSmallStepsAndRequestsAreAnsweredBetweenThem) {
   // A snapshot taken at one go stopped every replica for a second, all at the same entry of the
   // log.
-  ASSERT_TRUE(replica_->LeadsCurrent());
+  ASSERT_TRUE(replica_->IsCurrentLeader());
   int number = 0;
   std::optional<SnapshotStep> step;
   while (!step && number < 1000) {
@@ -151,14 +151,14 @@
 }
 
 TEST_F(TurnReplicaTest, FullMachineRefusesReservationsAndTakesSettlements) {
-  replica_->SetFull(true);
+  replica_->SetDiskFull(true);
   replica_->OnRequest(now_, kGateway, {1, ReserveTurn{}});
   std::vector<ReplyTo> replies = replica_->TakeReplies();
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.status, ReplyStatus::kOverloaded);
   Do(2);
   EXPECT_EQ(answered_, 1) << "a settlement";
-  replica_->SetFull(false);
+  replica_->SetDiskFull(false);
   replica_->OnRequest(now_, kGateway, {3, ReserveTurn{}});
   Pump();
   EXPECT_EQ(answered_, 2);
@@ -196,15 +196,19 @@
   // counted as gone for ever, and the machine was never made a replica again.
   const NodeId present{20};
   const NodeId lost{10};
-  replica_->OnMachine(now_, {"other", present, {"10.0.0.2", 1}, ZoneName("y")}, /*spoke=*/false);
-  replica_->OnMachine(now_, {"other", lost, {"10.0.0.2", 1}, ZoneName("y")}, /*spoke=*/false);
+  replica_->UpdateMachine(now_, {"other", present, {"10.0.0.2", 1}, ZoneName("y")},
+                          /*self_reported=*/false);
+  replica_->UpdateMachine(now_, {"other", lost, {"10.0.0.2", 1}, ZoneName("y")},
+                          /*self_reported=*/false);
   EXPECT_TRUE(replica_->machines().contains(present));
-  replica_->OnMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")}, /*spoke=*/false);
-  replica_->OnMachine(now_, {"third", NodeId(30), {"10.0.0.3", 1}, ZoneName("x")});
+  replica_->UpdateMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")},
+                          /*self_reported=*/false);
+  replica_->UpdateMachine(now_, {"third", NodeId(30), {"10.0.0.3", 1}, ZoneName("x")});
   EXPECT_FALSE(replica_->machines().contains(lost));
-  replica_->OnMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")}, /*spoke=*/false);
+  replica_->UpdateMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")},
+                          /*self_reported=*/false);
   EXPECT_TRUE(replica_->machines().contains(NodeId(30))) << "old news";
-  replica_->OnMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")});
+  replica_->UpdateMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")});
   EXPECT_TRUE(replica_->machines().contains(lost)) << "its own word";
 }
 
