--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -10,7 +10,7 @@
 
 constexpr absl::Duration kPlanInterval = absl::Milliseconds(100);
 /// Between tries to hand leadership to the member that should have it, and twice the first wait.
-constexpr absl::Duration kHandOverInterval = absl::Seconds(4);
+constexpr absl::Duration kLeadershipTransferInterval = absl::Seconds(4);
 
 /// The limiter counts in the newer code's time; both are steady and begin at the same moment.
 tenancy::instant QuotaTime(absl::Time now) {
@@ -28,7 +28,7 @@
       raft_(self.identity, options.raft, restored, seed, now),
       state_([this](consensus::EntryId entry) { return ReadEntry(entry); }),
       now_(now),
-      snapshots_(options.snapshot_log_bytes, restored.snapshot),
+      snapshot_schedule_(options.snapshot_log_bytes, restored.snapshot),
       quotas_(options.quota) {
   const consensus::Snapshot& snapshot = restored.snapshot;
   if (snapshot.index > 0) {
@@ -45,10 +45,10 @@
     return;
   }
   raft_.Tick(now_);
-  WatchLeadership();
+  UpdateLeadership();
   if (raft_.LeaderIsCurrent() && now_ >= next_plan_) {
     next_plan_ = now_ + kPlanInterval;
-    Plan();
+    PlanConfiguration();
   }
 }
 
@@ -58,13 +58,13 @@
     return;
   }
   const auto* request = std::get_if<consensus::SnapshotRequest>(&message);
-  bool news = request != nullptr && request->snapshot.index > raft_.commit_index();
-  if (news && !HasEntriesOf(request->snapshot)) {
+  bool newer = request != nullptr && request->snapshot.index > raft_.commit_index();
+  if (newer && !HasReferencedEntries(request->snapshot)) {
     ++incomplete_snapshots_;  // A part was lost on the way. The leader sends it all again.
     return;
   }
   raft_.Step(now_, from, message);
-  WatchLeadership();
+  UpdateLeadership();
 }
 
 void TurnReplica::UpdateMachine(absl::Time now, const Machine& machine, bool self_reported) {
@@ -84,11 +84,11 @@
       continue;
     }
     superseded_.insert(known->first);
-    heard_.erase(known->first);
+    last_heard_.erase(known->first);
     known = machines_.erase(known);
   }
   machines_[machine.identity] = machine;
-  heard_[machine.identity] = now_;
+  last_heard_[machine.identity] = now_;
 }
 
 void TurnReplica::OnMachineDown(absl::Time now, NodeId identity) {
@@ -116,146 +116,149 @@
   now_ = std::max(now_, now);
   Requester requester{gateway, request.request, layout};
   if (!raft_.IsLeader() || unreadable_index_) {
-    Answer(requester, ReplyStatus::kNotLeader);
+    Reply(requester, ReplyStatus::kNotLeader);
     return;
   }
-  if (AnswerAtOnce(requester, request)) {
+  if (ReplyWithoutLog(requester, request)) {
     return;
   }
-  if (under_way_.contains(requester)) {
+  if (in_flight_.contains(requester)) {
     return;  // Asked again out of impatience: one entry in the log answers both.
   }
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
   if (proposals_.size() >= options_.max_pending || (!settlement && (disk_full_ || Overloaded()))) {
-    Answer(requester, ReplyStatus::kOverloaded);
+    Reply(requester, ReplyStatus::kOverloaded);
     return;
   }
   Command command{LedgerNow(), request.operation};
   auto index = raft_.Propose(consensus::EntryKind::kCommand, wire::Encode(command));
   if (!index) {
-    Answer(requester, ReplyStatus::kNotLeader);
+    Reply(requester, ReplyStatus::kNotLeader);
     return;
   }
   proposals_[*index] = {raft_.term(), requester, now_};
-  under_way_.insert(requester);
+  in_flight_.insert(requester);
 }
 
-bool TurnReplica::AnswerAtOnce(const Requester& requester, const LedgerRequest& request) {
+bool TurnReplica::ReplyWithoutLog(const Requester& requester, const LedgerRequest& request) {
   if (std::holds_alternative<Probe>(request.operation)) {
-    Answer(requester, raft_.LeaderIsCurrent() ? ReplyStatus::kDone : ReplyStatus::kNotLeader);
+    Reply(requester, raft_.LeaderIsCurrent() ? ReplyStatus::kDone : ReplyStatus::kNotLeader);
     return true;
   }
   if (const auto* quota = std::get_if<TakeQuota>(&request.operation)) {
     // A leader that was replaced without knowing it must not count beside the next one.
     if (!raft_.HoldsLease(now_)) {
-      Answer(requester, ReplyStatus::kNotLeader);
+      Reply(requester, ReplyStatus::kNotLeader);
       return true;
     }
     OperationResult result;
     result.quota = quotas_.take(QuotaTime(now_), quota->request);
-    Answer(requester, ReplyStatus::kDone, std::move(result));
+    Reply(requester, ReplyStatus::kDone, std::move(result));
     return true;
   }
   const auto* reserve = std::get_if<ReserveTurn>(&request.operation);
-  bool unwanted = reserve != nullptr && request.known_programs_only && raft_.LeaderIsCurrent() &&
-                  !state_.HasProgram(reserve->program);
-  if (unwanted) {
+  bool refused = reserve != nullptr && request.known_programs_only && raft_.LeaderIsCurrent() &&
+                 !state_.HasProgram(reserve->program);
+  if (refused) {
     OperationResult result;
     result.verdict = Verdict::kUnknownProgram;
-    Answer(requester, ReplyStatus::kDone, std::move(result));
+    Reply(requester, ReplyStatus::kDone, std::move(result));
   }
-  return unwanted;
+  return refused;
 }
 
 // ---- Leading ----
 
 LedgerMillis TurnReplica::LedgerNow() const {
-  return ledger_time_at_start_ + absl::ToInt64Milliseconds(now_ - led_since_);
+  return ledger_time_at_election_ + absl::ToInt64Milliseconds(now_ - leader_since_);
 }
 
 bool TurnReplica::Overloaded() const {
-  return !proposals_.empty() && proposals_.begin()->second.at + options_.overload_after < now_;
+  return !proposals_.empty() &&
+         proposals_.begin()->second.proposed_at + options_.overload_after < now_;
 }
 
-void TurnReplica::WatchLeadership() {
+void TurnReplica::UpdateLeadership() {
   if (raft_.IsLeader() == was_leader_) {
     return;
   }
   was_leader_ = raft_.IsLeader();
   if (was_leader_) {
-    led_since_ = now_;
-    ledger_time_at_start_ = state_.now();
+    leader_since_ = now_;
+    ledger_time_at_election_ = state_.now();
     next_plan_ = now_;
-    next_hand_over_ = now_ + kHandOverInterval / 2;
+    next_leadership_transfer_ = now_ + kLeadershipTransferInterval / 2;
     quotas_.reset(QuotaTime(now_));
     return;
   }
-  GiveUpProposals();
+  AbandonProposals();
   transfers_.clear();
 }
 
-void TurnReplica::GiveUpProposals() {
+void TurnReplica::AbandonProposals() {
   for (const auto& [index, proposal] : proposals_) {
-    Answer(proposal.requester, ReplyStatus::kUncertain);
+    Reply(proposal.requester, ReplyStatus::kUncertain);
   }
   proposals_.clear();
-  under_way_.clear();
+  in_flight_.clear();
 }
 
-GroupView TurnReplica::View() const {
+GroupView TurnReplica::MakeGroupView() const {
   GroupView view;
   view.leader = self_.identity;
   view.configuration = raft_.configuration();
   view.commit = raft_.commit_index();
   for (const auto& [identity, machine] : machines_) {
-    MachineView seen;
-    seen.name = machine.name;
-    seen.identity = identity;
-    seen.zone = machine.zone;
-    seen.retiring = std::find(retiring_.begin(), retiring_.end(), machine.name) != retiring_.end();
-    auto heard = heard_.find(identity);
-    absl::Time last = heard == heard_.end() ? absl::InfinitePast() : heard->second;
+    MachineView known_machine;
+    known_machine.name = machine.name;
+    known_machine.identity = identity;
+    known_machine.zone = machine.zone;
+    known_machine.retiring =
+        std::find(retiring_.begin(), retiring_.end(), machine.name) != retiring_.end();
+    auto heard = last_heard_.find(identity);
+    absl::Time last = heard == last_heard_.end() ? absl::InfinitePast() : heard->second;
     last = std::max(last, raft_.LastContact(identity));
     // A new leader gives every member the time to be heard of.
     bool member = view.configuration.IsVoter(identity) || view.configuration.IsLearner(identity);
-    last = member ? std::max(last, led_since_) : last;
-    seen.silent_for = identity == self_.identity ? absl::ZeroDuration() : now_ - last;
-    seen.match = raft_.MatchIndex(identity);
-    view.machines.push_back(std::move(seen));
+    last = member ? std::max(last, leader_since_) : last;
+    known_machine.silent_for = identity == self_.identity ? absl::ZeroDuration() : now_ - last;
+    known_machine.match = raft_.MatchIndex(identity);
+    view.machines.push_back(std::move(known_machine));
   }
   for (NodeId member : view.configuration.Members()) {
     if (!machines_.contains(member) && !superseded_.contains(member)) {
-      MachineView unheard;
-      unheard.identity = member;
-      unheard.present = false;
-      unheard.silent_for = now_ - std::max(raft_.LastContact(member), led_since_);
-      unheard.match = raft_.MatchIndex(member);
-      view.machines.push_back(std::move(unheard));
+      MachineView unknown_machine;
+      unknown_machine.identity = member;
+      unknown_machine.present = false;
+      unknown_machine.silent_for = now_ - std::max(raft_.LastContact(member), leader_since_);
+      unknown_machine.match = raft_.MatchIndex(member);
+      view.machines.push_back(std::move(unknown_machine));
     }
   }
   return view;
 }
 
-void TurnReplica::Plan() {
+void TurnReplica::PlanConfiguration() {
   if (!raft_.ConfigurationIsCommitted()) {
     return;
   }
-  GroupView view = View();
+  GroupView view = MakeGroupView();
   if (auto next = PlanMembership(view, options_.planner)) {
     raft_.ProposeConfiguration(*next);
     return;
   }
   NodeId preferred = PreferredLeader(view, options_.planner);
-  bool due = options_.preferred_leaders && now_ >= next_hand_over_ && preferred != self_.identity;
+  bool due = options_.preferred_leaders && now_ >= next_leadership_transfer_ &&
+             preferred != self_.identity;
   if (due && raft_.MatchIndex(preferred) >= raft_.commit_index()) {
-    next_hand_over_ = now_ + kHandOverInterval;
+    next_leadership_transfer_ = now_ + kLeadershipTransferInterval;
     raft_.TransferLeadership(preferred);
   }
 }
 
 bool TurnReplica::CanRemoveMachine(const std::string& machine) const {
   return raft_.LeaderIsCurrent() && raft_.ConfigurationIsCommitted() &&
-         turn_ledger::CanRemoveMachine(View(), machine, options_.planner);
+         turn_ledger::CanRemoveMachine(MakeGroupView(), machine, options_.planner);
 }
 
 // ---- Snapshots to other members ----
@@ -293,7 +296,7 @@
   return parts;
 }
 
-bool TurnReplica::HasEntriesOf(const consensus::Snapshot& snapshot) const {
+bool TurnReplica::HasReferencedEntries(const consensus::Snapshot& snapshot) const {
   std::vector<consensus::EntryId> entries = entries_of(snapshot);
   return std::all_of(entries.begin(), entries.end(), [&](const consensus::EntryId& entry) {
     return read_stored_(entry).has_value();
@@ -320,8 +323,8 @@
   if (ready.snapshot_to_install) {
     const consensus::Snapshot& snapshot = *ready.snapshot_to_install;
     RestoreState(snapshot);
-    snapshots_.NoteInstalled(snapshot);
-    snapshot_under_way_.reset();  // The leader's is newer.
+    snapshot_schedule_.NoteInstalled(snapshot);
+    snapshot_in_progress_.reset();  // The leader's is newer.
   }
   for (const consensus::Entry& entry : ready.committed) {
     ApplyEntry(entry);
@@ -339,7 +342,7 @@
 
 void TurnReplica::Halt(consensus::LogIndex unreadable) {
   unreadable_index_ = unreadable;
-  GiveUpProposals();
+  AbandonProposals();
   transfers_.clear();
 }
 
@@ -347,7 +350,7 @@
   if (unreadable_index_) {
     return;
   }
-  snapshots_.NoteApplied(entry);
+  snapshot_schedule_.NoteApplied(entry);
   auto proposal = proposals_.extract(entry.index);
   if (entry.kind != consensus::EntryKind::kCommand) {
     return;
@@ -359,44 +362,44 @@
     Halt(entry.index);
     return;
   }
-  bool asked_here = !proposal.empty();
-  OperationResult result = state_.Apply(*command, {entry.index, entry.term}, asked_here);
+  bool proposed_here = !proposal.empty();
+  OperationResult result = state_.Apply(*command, {entry.index, entry.term}, proposed_here);
   for (consensus::LogIndex expired : state_.TakeExpiredEntries()) {
     unreferenced_entries_.push_back(expired);
   }
   // A leader's clock starts at its log's end, which it may only have applied now.
   if (raft_.IsLeader()) {
-    ledger_time_at_start_ = std::max(ledger_time_at_start_,
-                                     state_.now() - absl::ToInt64Milliseconds(now_ - led_since_));
+    ledger_time_at_election_ = std::max(
+        ledger_time_at_election_, state_.now() - absl::ToInt64Milliseconds(now_ - leader_since_));
   }
   if (proposal.empty()) {
     return;
   }
-  under_way_.erase(proposal.mapped().requester);
-  bool own = proposal.mapped().term == entry.term && !result.history_missing;
-  Answer(proposal.mapped().requester, own ? ReplyStatus::kDone : ReplyStatus::kUncertain,
-         own ? std::move(result) : OperationResult{});
+  in_flight_.erase(proposal.mapped().requester);
+  bool valid = proposal.mapped().term == entry.term && !result.history_missing;
+  Reply(proposal.mapped().requester, valid ? ReplyStatus::kDone : ReplyStatus::kUncertain,
+        valid ? std::move(result) : OperationResult{});
 }
 
 void TurnReplica::BeginSnapshotIfDue() {
-  if (snapshot_under_way_ || !snapshots_.Due(raft_)) {
+  if (snapshot_in_progress_ || !snapshot_schedule_.Due(raft_)) {
     return;
   }
-  snapshot_under_way_.emplace(
-      SnapshotUnderWay{snapshots_.Begin(raft_), state_image_encoder(state_.Capture())});
+  snapshot_in_progress_.emplace(
+      SnapshotInProgress{snapshot_schedule_.Begin(raft_), state_image_encoder(state_.Capture())});
 }
 
 std::optional<SnapshotStep> TurnReplica::NextSnapshotStep(std::size_t most_bytes) {
-  if (!snapshot_under_way_ || snapshot_under_way_->encoder.done()) {
+  if (!snapshot_in_progress_ || snapshot_in_progress_->encoder.done()) {
     return std::nullopt;
   }
-  SnapshotUnderWay& under_way = *snapshot_under_way_;
+  SnapshotInProgress& in_progress = *snapshot_in_progress_;
   SnapshotStep step;
-  step.first = !std::exchange(under_way.begun, true);
-  step.part = under_way.encoder.next(most_bytes);
-  under_way.snapshot.data += step.part;
-  if (under_way.encoder.done()) {
-    const consensus::Snapshot& whole = under_way.snapshot;
+  step.first = !std::exchange(in_progress.started, true);
+  step.part = in_progress.encoder.next(most_bytes);
+  in_progress.snapshot.data += step.part;
+  if (in_progress.encoder.done()) {
+    const consensus::Snapshot& whole = in_progress.snapshot;
     step.finished = consensus::Snapshot{whole.index, whole.term, whole.configuration, ""};
     step.kept = state_.ReferencedEntries(whole.index);
   }
@@ -404,9 +407,9 @@
 }
 
 void TurnReplica::FinishSnapshot() {
-  if (snapshot_under_way_ && snapshot_under_way_->encoder.done()) {
-    snapshots_.Finish(raft_, std::move(snapshot_under_way_->snapshot));
-    snapshot_under_way_.reset();
+  if (snapshot_in_progress_ && snapshot_in_progress_->encoder.done()) {
+    snapshot_schedule_.Finish(raft_, std::move(snapshot_in_progress_->snapshot));
+    snapshot_in_progress_.reset();
   }
 }
 
@@ -432,7 +435,7 @@
   return taken;
 }
 
-void TurnReplica::Answer(const Requester& requester, ReplyStatus status, OperationResult result) {
+void TurnReplica::Reply(const Requester& requester, ReplyStatus status, OperationResult result) {
   LedgerReply reply;
   reply.request = requester.request;
   reply.status = status;
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -103,7 +103,7 @@
   /// While a snapshot is under way. @return its next part, of about `most_bytes`. Between the
   /// steps the replica goes on as ever.
   std::optional<SnapshotStep> NextSnapshotStep(std::size_t most_bytes);
-  bool IsTakingSnapshot() const { return snapshot_under_way_.has_value(); }
+  bool IsTakingSnapshot() const { return snapshot_in_progress_.has_value(); }
   /// The last step is stored: the log up to the snapshot is dropped.
   void FinishSnapshot();
   std::vector<ReplyTo> TakeReplies();
@@ -126,28 +126,28 @@
   struct Proposal {
     consensus::Term term = 0;
     Requester requester;
-    absl::Time at;
+    absl::Time proposed_at;
   };
 
   LedgerMillis LedgerNow() const;
   /// Answers what needs no entry in the log. @return false when it does.
-  bool AnswerAtOnce(const Requester& requester, const LedgerRequest& request);
+  bool ReplyWithoutLog(const Requester& requester, const LedgerRequest& request);
   /// True when a new reservation would wait so long that its requester gives it up.
   bool Overloaded() const;
-  void WatchLeadership();
-  void Plan();
-  GroupView View() const;
+  void UpdateLeadership();
+  void PlanConfiguration();
+  GroupView MakeGroupView() const;
   void ApplyEntry(const consensus::Entry& entry);
   std::optional<consensus::Entry> ReadEntry(consensus::EntryId entry) const;
   /// True when every entry that the snapshot names is on this machine's disk.
-  bool HasEntriesOf(const consensus::Snapshot& snapshot) const;
+  bool HasReferencedEntries(const consensus::Snapshot& snapshot) const;
   void BeginSnapshotIfDue();
   /// Ends the replica's part in its group: its state would differ from the others'.
   void Halt(consensus::LogIndex unreadable);
   void RestoreState(const consensus::Snapshot& snapshot);
   /// Tells whoever waits for a proposal of this replica to ask elsewhere.
-  void GiveUpProposals();
-  void Answer(const Requester& requester, ReplyStatus status, OperationResult result = {});
+  void AbandonProposals();
+  void Reply(const Requester& requester, ReplyStatus status, OperationResult result = {});
 
   Machine self_;
   ReplicaOptions options_;
@@ -157,20 +157,20 @@
   absl::Time now_;
 
   bool was_leader_ = false;
-  absl::Time led_since_;
-  LedgerMillis ledger_time_at_start_ = 0;
+  absl::Time leader_since_;
+  LedgerMillis ledger_time_at_election_ = 0;
   absl::Time next_plan_;
-  absl::Time next_hand_over_;
+  absl::Time next_leadership_transfer_;
 
   /// A snapshot being encoded.
-  struct SnapshotUnderWay {
+  struct SnapshotInProgress {
     consensus::Snapshot snapshot;  ///< Its data grows with each step.
     state_image_encoder encoder;
-    bool begun = false;
+    bool started = false;
   };
 
-  consensus::SnapshotSchedule snapshots_;
-  std::optional<SnapshotUnderWay> snapshot_under_way_;
+  consensus::SnapshotSchedule snapshot_schedule_;
+  std::optional<SnapshotInProgress> snapshot_in_progress_;
 
   std::map<NodeId, snapshot_transfer> transfers_;          // Of a leader, to other members.
   std::vector<consensus::LogIndex> unreferenced_entries_;  // To be told to the disk.
@@ -179,11 +179,11 @@
   std::optional<consensus::LogIndex> unreadable_index_;  ///< See `unreadable_index`.
 
   std::map<NodeId, Machine> machines_;
-  std::map<NodeId, absl::Time> heard_;
+  std::map<NodeId, absl::Time> last_heard_;
   std::set<NodeId> superseded_;  ///< Identities whose disk is known to be gone.
   std::vector<std::string> retiring_;
   std::map<consensus::LogIndex, Proposal> proposals_;
-  std::set<Requester> under_way_;  ///< Of `proposals_`.
+  std::set<Requester> in_flight_;  ///< Of `proposals_`.
   std::vector<ReplyTo> replies_;
   tenancy::rate_limiter quotas_;  ///< Of the tenants hashed to this group, while it leads.
 };
