--- a/src/turn_ledger/membership_planner.cc
+++ b/src/turn_ledger/membership_planner.cc
@@ -21,7 +21,7 @@
 }
 
 /// A voter that nobody needs to replace.
-bool IsSound(const GroupView& view, NodeId voter, const PlannerOptions& options) {
+bool IsHealthy(const GroupView& view, NodeId voter, const PlannerOptions& options) {
   if (voter == view.leader) {
     const MachineView* self = Find(view, voter);
     return self == nullptr || !self->retiring;
@@ -30,38 +30,39 @@
   if (machine == nullptr || machine->retiring) {
     return false;
   }
-  return machine->silent_for < (machine->present ? options.replace_after : options.forget_after);
+  return machine->time_since_contact <
+         (machine->present ? options.replace_after : options.forget_after);
 }
 
 /// A sound voter that has answered this very leader. One that it has not heard of yet may be the
 /// identity of a disk that is gone: it gets time, but no voter is removed on its account.
-bool IsProven(const GroupView& view, NodeId voter, const PlannerOptions& options) {
+bool IsConfirmed(const GroupView& view, NodeId voter, const PlannerOptions& options) {
   const MachineView* machine = Find(view, voter);
   bool answered = voter == view.leader || (machine != nullptr && machine->match > 0);
-  return answered && IsSound(view, voter, options);
+  return answered && IsHealthy(view, voter, options);
 }
 
-std::size_t ProvenVoters(const GroupView& view, const PlannerOptions& options) {
+std::size_t CountConfirmedVoters(const GroupView& view, const PlannerOptions& options) {
   return static_cast<std::size_t>(
       std::count_if(view.configuration.voters.begin(), view.configuration.voters.end(),
-                    [&](NodeId voter) { return IsProven(view, voter, options); }));
+                    [&](NodeId voter) { return IsConfirmed(view, voter, options); }));
 }
 
-std::size_t SoundVoters(const GroupView& view, const PlannerOptions& options) {
+std::size_t CountHealthyVoters(const GroupView& view, const PlannerOptions& options) {
   return static_cast<std::size_t>(
       std::count_if(view.configuration.voters.begin(), view.configuration.voters.end(),
-                    [&](NodeId voter) { return IsSound(view, voter, options); }));
+                    [&](NodeId voter) { return IsHealthy(view, voter, options); }));
 }
 
 bool IsLive(const MachineView& machine, const PlannerOptions& options) {
-  return machine.silent_for < options.live_within;
+  return machine.time_since_contact < options.live_within;
 }
 
-std::set<ZoneName> SoundZones(const GroupView& view, const PlannerOptions& options) {
+std::set<ZoneName> HealthyZones(const GroupView& view, const PlannerOptions& options) {
   std::set<ZoneName> zones;
   for (NodeId voter : view.configuration.voters) {
     const MachineView* machine = Find(view, voter);
-    if (machine != nullptr && IsSound(view, voter, options)) {
+    if (machine != nullptr && IsHealthy(view, voter, options)) {
       zones.insert(machine->zone);
     }
   }
@@ -70,7 +71,7 @@
 
 /// @return the machine to add next: one in a zone without a replica first.
 const MachineView* BestSpare(const GroupView& view, const PlannerOptions& options) {
-  std::set<ZoneName> covered = SoundZones(view, options);
+  std::set<ZoneName> covered = HealthyZones(view, options);
   const MachineView* best = nullptr;
   auto rank = [&](const MachineView& machine) {
     return std::make_pair(covered.contains(machine.zone), StableHash(machine.name, options.group));
@@ -93,12 +94,12 @@
 
 /// Learners whose machine is gone, or that are no longer needed.
 std::optional<Configuration> DropLearner(const GroupView& view, const PlannerOptions& options) {
-  bool enough = ProvenVoters(view, options) >= options.replicas;
+  bool has_enough_voters = CountConfirmedVoters(view, options) >= options.replicas;
   for (NodeId learner : view.configuration.learners) {
     const MachineView* machine = Find(view, learner);
-    bool gone =
-        machine == nullptr || machine->retiring || machine->silent_for >= options.replace_after;
-    if (gone || enough) {
+    bool unavailable = machine == nullptr || machine->retiring ||
+                       machine->time_since_contact >= options.replace_after;
+    if (unavailable || has_enough_voters) {
       Configuration next = view.configuration;
       Erase(next.learners, learner);
       return next;
@@ -124,29 +125,29 @@
 
 std::optional<Configuration> RemoveVoter(const GroupView& view, const PlannerOptions& options) {
   std::size_t voters = view.configuration.voters.size();
-  if (ProvenVoters(view, options) < options.replicas || voters <= options.replicas) {
+  if (CountConfirmedVoters(view, options) < options.replicas || voters <= options.replicas) {
     return std::nullopt;
   }
-  bool undecided = SoundVoters(view, options) > ProvenVoters(view, options);
-  if (undecided && SoundVoters(view, options) == voters) {
+  bool has_unconfirmed = CountHealthyVoters(view, options) > CountConfirmedVoters(view, options);
+  if (has_unconfirmed && CountHealthyVoters(view, options) == voters) {
     return std::nullopt;  // One that has not answered yet may be the one to go.
   }
-  NodeId worst = kNoNode;
+  NodeId to_remove = kNoNode;
   for (NodeId voter : view.configuration.voters) {
-    if (voter != view.leader && !IsSound(view, voter, options)) {
-      worst = voter;
+    if (voter != view.leader && !IsHealthy(view, voter, options)) {
+      to_remove = voter;
     }
   }
-  if (worst == kNoNode && !IsSound(view, view.leader, options)) {
-    worst = view.leader;  // The leader steps down once its own removal is committed.
+  if (to_remove == kNoNode && !IsHealthy(view, view.leader, options)) {
+    to_remove = view.leader;  // The leader steps down once its own removal is committed.
   }
-  if (worst == kNoNode) {
+  if (to_remove == kNoNode) {
     for (NodeId voter : view.configuration.voters) {
-      worst = voter == view.leader ? worst : voter;
+      to_remove = voter == view.leader ? to_remove : voter;
     }
   }
   Configuration next = view.configuration;
-  Erase(next.voters, worst);
+  Erase(next.voters, to_remove);
   return next;
 }
 
@@ -159,7 +160,7 @@
   if (auto next = DropLearner(view, options)) {
     return next;
   }
-  if (SoundVoters(view, options) >= options.replicas) {
+  if (CountHealthyVoters(view, options) >= options.replicas) {
     return std::nullopt;
   }
   if (auto next = PromoteLearner(view, options)) {
@@ -178,7 +179,7 @@
 
 NodeId PreferredLeader(const GroupView& view, const PlannerOptions& options) {
   for (NodeId voter : view.configuration.voters) {
-    if (IsSound(view, voter, options)) {
+    if (IsHealthy(view, voter, options)) {
       return voter;
     }
   }
@@ -188,13 +189,13 @@
 bool CanRemoveMachine(const GroupView& view, const std::string& machine,
                       const PlannerOptions& options) {
   for (const MachineView& candidate : view.machines) {
-    bool holds = view.configuration.IsVoter(candidate.identity) ||
-                 view.configuration.IsLearner(candidate.identity);
-    if (candidate.name == machine && holds) {
+    bool holds_replica = view.configuration.IsVoter(candidate.identity) ||
+                         view.configuration.IsLearner(candidate.identity);
+    if (candidate.name == machine && holds_replica) {
       return false;
     }
   }
-  return SoundVoters(view, options) >= options.replicas;
+  return CountHealthyVoters(view, options) >= options.replicas;
 }
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/membership_planner.h
+++ b/src/turn_ledger/membership_planner.h
@@ -22,10 +22,10 @@
   std::string name;
   NodeId identity;
   ZoneName zone;
-  bool retiring = false;          ///< The operator wants it emptied.
-  bool present = true;            ///< Some machine is known to have this identity now.
-  absl::Duration silent_for;      ///< Since anything was heard of this identity.
-  consensus::LogIndex match = 0;  ///< How far it is known to have the log.
+  bool retiring = false;              ///< The operator wants it emptied.
+  bool present = true;                ///< Some machine is known to have this identity now.
+  absl::Duration time_since_contact;  ///< Since anything was heard of this identity.
+  consensus::LogIndex match = 0;      ///< How far it is known to have the log.
 };
 
 struct PlannerOptions {
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -221,7 +221,8 @@
     // A new leader gives every member the time to be heard of.
     bool member = view.configuration.IsVoter(identity) || view.configuration.IsLearner(identity);
     last = member ? std::max(last, leader_since_) : last;
-    known_machine.silent_for = identity == self_.identity ? absl::ZeroDuration() : now_ - last;
+    known_machine.time_since_contact =
+        identity == self_.identity ? absl::ZeroDuration() : now_ - last;
     known_machine.match = raft_.MatchIndex(identity);
     view.machines.push_back(std::move(known_machine));
   }
@@ -230,7 +231,8 @@
       MachineView unknown_machine;
       unknown_machine.identity = member;
       unknown_machine.present = false;
-      unknown_machine.silent_for = now_ - std::max(raft_.LastContact(member), leader_since_);
+      unknown_machine.time_since_contact =
+          now_ - std::max(raft_.LastContact(member), leader_since_);
       unknown_machine.match = raft_.MatchIndex(member);
       view.machines.push_back(std::move(unknown_machine));
     }
--- a/tests/turn_ledger/membership_planner_test.cc
+++ b/tests/turn_ledger/membership_planner_test.cc
@@ -64,30 +64,30 @@
   view.machines.push_back(MakeMachine(4, "c"));
   view.machines[2].match = 0;  // Identity 3 has not answered.
   EXPECT_FALSE(PlanMembership(view, {}).has_value());
-  view.machines[2].silent_for = absl::Seconds(2);
+  view.machines[2].time_since_contact = absl::Seconds(2);
   auto step = PlanMembership(view, {});
   ASSERT_TRUE(step.has_value());
   EXPECT_FALSE(step->IsVoter(NodeId(3)));
   EXPECT_EQ(step->voters.size(), 3U);
 
-  view.machines[2].silent_for = absl::Milliseconds(400);
+  view.machines[2].time_since_contact = absl::Milliseconds(400);
   EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "a known machine gets longer";
   view.machines[2].present = false;
   EXPECT_TRUE(PlanMembership(view, {}).has_value()) << "an identity that no machine has";
 
-  view.machines[2].silent_for = absl::ZeroDuration();
+  view.machines[2].time_since_contact = absl::ZeroDuration();
   view.machines[1].retiring = true;
   EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "2 still serves; 3 may be gone";
 }
 
 TEST(MembershipPlannerTest, SilentVoterIsReplacedOnlyByALiveSpare) {
   GroupView view = ThreeVoters();
-  view.machines[1].silent_for = absl::Seconds(10);
+  view.machines[1].time_since_contact = absl::Seconds(10);
   EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "nobody could step in";
   view.machines.push_back(MakeMachine(4, "b"));
-  view.machines[3].silent_for = absl::Seconds(5);
+  view.machines[3].time_since_contact = absl::Seconds(5);
   EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "the spare is silent too";
-  view.machines[3].silent_for = absl::ZeroDuration();
+  view.machines[3].time_since_contact = absl::ZeroDuration();
   auto step = PlanMembership(view, {});
   ASSERT_TRUE(step.has_value());
   EXPECT_TRUE(step->IsLearner(NodeId(4)));
@@ -95,7 +95,7 @@
 
 TEST(MembershipPlannerTest, SpareOfAnUncoveredZoneGoesFirst) {
   GroupView view = ThreeVoters();
-  view.machines[1].silent_for = absl::Seconds(10);
+  view.machines[1].time_since_contact = absl::Seconds(10);
   view.machines.push_back(MakeMachine(4, "a"));
   view.machines.push_back(MakeMachine(5, "b"));
   auto step = PlanMembership(view, {});
@@ -126,7 +126,7 @@
   EXPECT_FALSE(step->IsVoter(NodeId(2)));
   view.configuration = *step;
   EXPECT_TRUE(CanRemoveMachine(view, "m2", {}));
-  view.machines[2].silent_for = absl::Seconds(10);
+  view.machines[2].time_since_contact = absl::Seconds(10);
   EXPECT_FALSE(CanRemoveMachine(view, "m2", {})) << "a holder of the rest is silent";
 }
 
