--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -108,7 +108,7 @@
 turn_ledger::LedgerClientOptions LedgerOptions(const policy_switches& policy) {
   turn_ledger::LedgerClientOptions options;
   if (!policy.on(mechanism::silence_refusal)) {
-    options.most_waiting = std::numeric_limits<std::size_t>::max();
+    options.max_waiting = std::numeric_limits<std::size_t>::max();
   }
   return options;
 }
--- a/src/turn_ledger/ledger_client.cc
+++ b/src/turn_ledger/ledger_client.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /// Replicas that point at each other while they have no leader are not asked without end.
-constexpr std::size_t kMostHints = 3;
+constexpr std::size_t kMaxHints = 3;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
 
 bool LedgerClient::RefusesNow(const wire::Endpoint& machine) const {
   auto refused = refused_.find(machine);
-  return refused != refused_.end() && SteadyNow() < refused->second + options_.refused_for;
+  return refused != refused_.end() && SteadyNow() < refused->second + options_.refusal_cooldown;
 }
 
 wire::Endpoint LedgerClient::NextMachine(Group& group) const {
@@ -123,8 +123,8 @@
 }
 
 bool LedgerClient::IsBuried(const Group& group) const {
-  return group.waiting >= options_.most_waiting &&
-         group.last_sign + options_.silent_after < SteadyNow();
+  return group.waiting >= options_.max_waiting &&
+         group.last_sign + options_.unresponsive_after < SteadyNow();
 }
 
 Task<CallResult> LedgerClient::Call(GroupId group_id, Operation operation, absl::Time deadline,
@@ -142,7 +142,7 @@
   if (!counted || group == nullptr) {
     co_return co_await Try(std::move(request), deadline, relaying);
   }
-  bool lost = lost_ && relays_.empty() && IsSilent(*group, options_.silent_after);
+  bool lost = lost_ && relays_.empty() && IsSilent(*group, options_.unresponsive_after);
   if (lost || IsBuried(*group)) {
     CallResult refused;
     refused.end = CallEnd::kOverloaded;
@@ -162,7 +162,8 @@
 Task<CallResult> LedgerClient::Try(LedgerRequest request, absl::Time deadline, Relaying relaying) {
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
   GroupId group_id = request.group;
-  absl::Duration longest_try = settlement ? options_.longest_settle_try : options_.longest_try;
+  absl::Duration max_try_timeout =
+      settlement ? options_.max_settle_try_timeout : options_.max_try_timeout;
   Waiting waiting(context_);
   waiting_[request.request] = &waiting;
   std::optional<wire::Endpoint> failed;
@@ -184,7 +185,7 @@
     }
     failed.reset();
     if (!target) {
-      co_await async_http::Sleep(context_, std::min(options_.pause, deadline - SteadyNow()));
+      co_await async_http::Sleep(context_, std::min(options_.retry_delay, deadline - SteadyNow()));
       continue;
     }
     waiting.tries.push_back({*target, IsRelay(*target)});
@@ -207,7 +208,7 @@
     if (!waiting.reply) {
       may_be_committed = true;
       failed = target;
-      try_timeout = std::min(try_timeout * 2, longest_try);
+      try_timeout = std::min(try_timeout * 2, max_try_timeout);
       continue;
     }
     const LedgerReply& reply = *waiting.reply;
@@ -240,15 +241,15 @@
     }
     bool hint =
         reply.leader.port != 0 && reply.leader != answered.target && !RefusesNow(reply.leader);
-    if (hint && ++hints <= kMostHints) {
+    if (hint && ++hints <= kMaxHints) {
       group->leader = reply.leader;
       continue;
     }
     group->leader.reset();
-    if (hints > kMostHints || ++unhelpful >= group->machines.size()) {
+    if (hints > kMaxHints || ++unhelpful >= group->machines.size()) {
       unhelpful = 0;
       hints = 0;
-      co_await async_http::Sleep(context_, std::min(options_.pause, deadline - SteadyNow()));
+      co_await async_http::Sleep(context_, std::min(options_.retry_delay, deadline - SteadyNow()));
     }
   }
   waiting_.erase(request.request);
@@ -256,7 +257,7 @@
 }
 
 std::size_t LedgerClient::probed_groups() const {
-  return std::min(groups_.size(), options_.most_probed);
+  return std::min(groups_.size(), options_.max_probed_groups);
 }
 
 std::size_t LedgerClient::ProbedGroup(std::size_t place) const {
@@ -279,7 +280,7 @@
 Task<void> LedgerClient::ProbeGroup(GroupId group_id) {
   // Named, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
   Operation probe = Probe{};
-  co_await Call(group_id, std::move(probe), SteadyNow() + options_.probe_patience,
+  co_await Call(group_id, std::move(probe), SteadyNow() + options_.probe_timeout,
                 Relaying::kDirectOnly);
   if (Group* group = Find(group_id)) {
     group->probing = false;
--- a/src/turn_ledger/ledger_client.h
+++ b/src/turn_ledger/ledger_client.h
@@ -15,25 +15,25 @@
 struct LedgerClientOptions {
   /// Then another replica is asked; doubled with each try of a call.
   absl::Duration try_timeout = absl::Milliseconds(200);
-  absl::Duration longest_try = absl::Milliseconds(800);
-  absl::Duration longest_settle_try = absl::Seconds(4);  ///< Settlements can wait.
-  absl::Duration pause = absl::Milliseconds(25);         ///< Between tries without a leader.
-  /// A group that answered nothing for this long gets no more than `most_waiting` reservations of
+  absl::Duration max_try_timeout = absl::Milliseconds(800);
+  absl::Duration max_settle_try_timeout = absl::Seconds(4);  ///< Settlements can wait.
+  absl::Duration retry_delay = absl::Milliseconds(25);       ///< Between tries without a leader.
+  /// A group that answered nothing for this long gets no more than `max_waiting` reservations of
   /// this gateway: the rest are refused at once. A ledger that recovers isn't buried by those that
   /// wait for it.
-  absl::Duration silent_after = absl::Milliseconds(400);
+  absl::Duration unresponsive_after = absl::Milliseconds(400);
   /// A group that answered nothing for this long is asked through a peer, if one reaches it.
   absl::Duration relay_after = absl::Milliseconds(300);
-  absl::Duration probe_patience = absl::Milliseconds(300);
+  absl::Duration probe_timeout = absl::Milliseconds(300);
   /// A machine that refused a connection is passed over for this long: a process starts again in
   /// half a second.
-  absl::Duration refused_for = absl::Milliseconds(500);
-  std::size_t most_waiting = 12;
+  absl::Duration refusal_cooldown = absl::Milliseconds(500);
+  std::size_t max_waiting = 12;
   /// Groups that are asked whether they are there, for the verdict on whether this gateway reaches
   /// the ledger. Each gateway asks others, so that all groups together get no more questions with
   /// more groups: 259 gateways' four questions a second to each of 36 groups would have been a
   /// thousand a second at each machine.
-  std::size_t most_probed = 3;
+  std::size_t max_probed_groups = 3;
 };
 
 /// How a call ended.
--- a/tests/turn_ledger/ledger_client_test.cc
+++ b/tests/turn_ledger/ledger_client_test.cc
@@ -84,7 +84,7 @@
 TEST_F(LedgerClientTest, FewGroupsAreProbedHoweverManyThereAreAndTheyLieApart) {
   constexpr std::size_t kGroups = 36;
   client_.SetGroups(std::vector<std::vector<wire::Endpoint>>(kGroups, {kFirst}));
-  std::size_t most = LedgerClientOptions{}.most_probed;
+  std::size_t most = LedgerClientOptions{}.max_probed_groups;
   EXPECT_EQ(client_.probed_groups(), most);
   absl::SleepFor(absl::Milliseconds(5));
   client_.ProbeQuietGroups(absl::Milliseconds(1));
@@ -103,7 +103,7 @@
 }
 
 TEST_F(LedgerClientTest, SilentGroupGetsAFewReservationsAndTheRestAreRefusedAtOnce) {
-  std::size_t most = LedgerClientOptions{}.most_waiting;
+  std::size_t most = LedgerClientOptions{}.max_waiting;
   std::vector<std::shared_ptr<std::optional<CallEnd>>> waiting;
   for (std::size_t call = 0; call < most; ++call) {
     waiting.push_back(Start(ReserveTurn{}, absl::Seconds(10)));
@@ -112,7 +112,7 @@
   auto burst = Start(ReserveTurn{}, absl::Seconds(10));
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() == most + 1; }))
       << "many at once after a quiet time are no silence";
-  absl::Time silent = SteadyNow() + LedgerClientOptions{}.silent_after;
+  absl::Time silent = SteadyNow() + LedgerClientOptions{}.unresponsive_after;
   RunUntil(loop_, [&] { return SteadyNow() > silent; });
   auto refused = Start(ReserveTurn{}, absl::Seconds(10));
   ASSERT_TRUE(RunUntil(loop_, [&] { return refused->has_value(); }));
@@ -274,7 +274,7 @@
 
   static LedgerClientOptions PatientOptions() {
     LedgerClientOptions options;
-    options.try_timeout = options.longest_try = absl::Seconds(60);
+    options.try_timeout = options.max_try_timeout = absl::Seconds(60);
     return options;
   }
   /// @return the target of a further call, which is answered there.
