--- a/src/forwarding/quota/quota_client.cc
+++ b/src/forwarding/quota/quota_client.cc
@@ -106,10 +106,10 @@
     // Named, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
     turn_ledger::Operation operation = turn_ledger::TakeQuota{request};
     turn_ledger::CallResult result = co_await m_ledger.Call(group, std::move(operation), deadline);
-    if (result.end == turn_ledger::CallEnd::kUnsupported)
+    if (result.status == turn_ledger::CallStatus::kUnsupported)
     {
         result->quota = take_own_share(std::move(request));
-        result.end = turn_ledger::CallEnd::kDone;
+        result.status = turn_ledger::CallStatus::kDone;
     }
     const std::vector<std::int32_t>& waits = result->quota.m_waits_ms;
     for (std::size_t index = 0; index < asked.size(); ++index)
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -272,7 +272,7 @@
 }
 
 Task<bool> RequestRun::TakeVerdict(const turn_ledger::CallResult& result, Line& line) {
-  if (result.end == turn_ledger::CallEnd::kNoAnswer) {
+  if (result.status == turn_ledger::CallStatus::kDeadlineExceeded) {
     state_->log.Write(line.Text("verdict", "no_answer"));
     SettleLater(0);
     co_await Refuse("the turn ledger did not answer");
@@ -286,7 +286,7 @@
     co_return true;
   }
   reserved_ = false;
-  if (result.end == turn_ledger::CallEnd::kOverloaded) {
+  if (result.status == turn_ledger::CallStatus::kOverloaded) {
     state_->log.Write(line.Text("verdict", "overloaded"));
     co_await Refuse("the turn ledger is overloaded");
   } else if (result->verdict == turn_ledger::Verdict::kUnknownProgram) {
@@ -338,7 +338,7 @@
   }
   turn_ledger::CallResult result;
   if (search.m_complete) {
-    result.end = turn_ledger::CallEnd::kDone;
+    result.status = turn_ledger::CallStatus::kDone;
     result.result.verdict = turn_ledger::Verdict::kUnknownPrevious;
   }
   co_return result;
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -405,8 +405,8 @@
       request.group, std::move(request.operation), deadline, turn_ledger::Relaying::kDirectOnly,
       request.known_programs_only ? turn_ledger::Programs::kKnownOnly
                                   : turn_ledger::Programs::kAll);
-  bool answered =
-      result.end == turn_ledger::CallEnd::kDone || result.end == turn_ledger::CallEnd::kOverloaded;
+  bool answered = result.status == turn_ledger::CallStatus::kDone ||
+                  result.status == turn_ledger::CallStatus::kOverloaded;
   if (!answered) {
     co_return;  // The peer asks somebody else.
   }
--- a/src/turn_ledger/ledger_client.cc
+++ b/src/turn_ledger/ledger_client.cc
@@ -145,7 +145,7 @@
   bool lost = lost_ && relays_.empty() && IsSilent(*group, options_.unresponsive_after);
   if (lost || IsBuried(*group)) {
     CallResult refused;
-    refused.end = CallEnd::kOverloaded;
+    refused.status = CallStatus::kOverloaded;
     co_return refused;
   }
   if (group->waiting == 0) {
@@ -199,7 +199,7 @@
       bool last =
           group == nullptr || group->leader == target || ++unsupported >= group->machines.size();
       if (last) {
-        result.end = CallEnd::kUnsupported;
+        result.status = CallStatus::kUnsupported;
         break;
       }
       failed = target;
@@ -223,7 +223,7 @@
         group->leader = answered.target;
         group->last_answer = group->last_sign;
       }
-      result = {CallEnd::kDone, std::move(waiting.reply->result)};
+      result = {CallStatus::kDone, std::move(waiting.reply->result)};
       break;
     }
     may_be_committed = may_be_committed || reply.status == ReplyStatus::kUncertain;
@@ -233,7 +233,7 @@
         group->last_answer = SteadyNow();
       }
       if (!settlement && !may_be_committed) {
-        result.end = CallEnd::kOverloaded;
+        result.status = CallStatus::kOverloaded;
         break;
       }
       co_await async_http::Sleep(context_, std::min(try_timeout, deadline - SteadyNow()));
--- a/src/turn_ledger/ledger_client.h
+++ b/src/turn_ledger/ledger_client.h
@@ -37,19 +37,19 @@
 };
 
 /// How a call ended.
-enum class CallEnd {
-  kDone,         ///< Committed: the result holds.
-  kNoAnswer,     ///< The deadline passed: it may be committed or not, or later.
+enum class CallStatus {
+  kDone,              ///< Committed: the result holds.
+  kDeadlineExceeded,  ///< The deadline passed: it may be committed or not, or later.
   kOverloaded,   ///< The leader has more than it can do, and no try was taken up: it never will be.
   kUnsupported,  ///< The leader, or each machine asked, is of a build without the operation.
 };
 
 /// A call's end, with its result when it is done.
 struct CallResult {
-  CallEnd end = CallEnd::kNoAnswer;
+  CallStatus status = CallStatus::kDeadlineExceeded;
   OperationResult result;
 
-  explicit operator bool() const { return end == CallEnd::kDone; }
+  explicit operator bool() const { return status == CallStatus::kDone; }
   OperationResult* operator->() { return &result; }
   const OperationResult* operator->() const { return &result; }
 };
--- a/tests/turn_ledger/ledger_client_test.cc
+++ b/tests/turn_ledger/ledger_client_test.cc
@@ -49,13 +49,13 @@
   }
 
   /// Starts a call; its end arrives in the returned slot.
-  std::shared_ptr<std::optional<CallEnd>> Start(Operation operation, absl::Duration patience) {
-    auto end = std::make_shared<std::optional<CallEnd>>();
+  std::shared_ptr<std::optional<CallStatus>> Start(Operation operation, absl::Duration patience) {
+    auto end = std::make_shared<std::optional<CallStatus>>();
     async_http::asio::co_spawn(
         loop_.context(),
         [this, end, operation = std::move(operation), patience]() -> async_http::Task<void> {
           CallResult result = co_await client_.Call(kGroup, operation, SteadyNow() + patience);
-          *end = result.end;
+          *end = result.status;
         },
         async_http::asio::detached);
     return end;
@@ -104,7 +104,7 @@
 
 TEST_F(LedgerClientTest, SilentGroupGetsAFewReservationsAndTheRestAreRefusedAtOnce) {
   std::size_t most = LedgerClientOptions{}.max_waiting;
-  std::vector<std::shared_ptr<std::optional<CallEnd>>> waiting;
+  std::vector<std::shared_ptr<std::optional<CallStatus>>> waiting;
   for (std::size_t call = 0; call < most; ++call) {
     waiting.push_back(Start(ReserveTurn{}, absl::Seconds(10)));
   }
@@ -116,14 +116,14 @@
   RunUntil(loop_, [&] { return SteadyNow() > silent; });
   auto refused = Start(ReserveTurn{}, absl::Seconds(10));
   ASSERT_TRUE(RunUntil(loop_, [&] { return refused->has_value(); }));
-  EXPECT_EQ(**refused, CallEnd::kOverloaded);
+  EXPECT_EQ(**refused, CallStatus::kOverloaded);
   std::size_t before = sent_.size();
   auto settlement = Start(SettleTurn{}, absl::Seconds(10));
   EXPECT_TRUE(RunUntil(loop_, [&] { return sent_.size() > before; })) << "what ran must be charged";
 
   Answer(sent_.front().second, ReplyStatus::kDone);
   ASSERT_TRUE(RunUntil(loop_, [&] { return waiting.front()->has_value(); }));
-  EXPECT_EQ(**waiting.front(), CallEnd::kDone);
+  EXPECT_EQ(**waiting.front(), CallStatus::kDone);
   before = sent_.size();
   auto welcome = Start(ReserveTurn{}, absl::Seconds(10));
   EXPECT_TRUE(RunUntil(loop_, [&] { return sent_.size() > before; })) << "the group speaks again";
@@ -161,7 +161,7 @@
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.back().first == peer; }));
   Answer(sent_.back().second, ReplyStatus::kDone);
   ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
-  EXPECT_EQ(**end, CallEnd::kDone);
+  EXPECT_EQ(**end, CallStatus::kDone);
   EXPECT_EQ(client_.SilentGroups(absl::Milliseconds(300)), 1U) << "a peer's word is no contact";
   EXPECT_GT(client_.relayed(), 0U);
 
@@ -175,7 +175,7 @@
   EXPECT_NE(sent_.back().first, peer);
   Answer(sent_.back().second, ReplyStatus::kDone);
   ASSERT_TRUE(RunUntil(loop_, [&] { return next->has_value(); }));
-  EXPECT_EQ(**next, CallEnd::kDone);
+  EXPECT_EQ(**next, CallStatus::kDone);
 }
 
 // When a leader had stopped and handed over within 6 ms, calls took 200.6 to 201.6 ms all the same:
@@ -229,7 +229,7 @@
   auto end = Start(ReserveTurn{}, absl::Seconds(10));
   std::size_t sent = sent_.size();
   ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
-  EXPECT_EQ(**end, CallEnd::kOverloaded);
+  EXPECT_EQ(**end, CallStatus::kOverloaded);
   EXPECT_EQ(sent_.size(), sent) << "nothing was sent: it never will be taken up";
 }
 
@@ -238,7 +238,7 @@
   ASSERT_TRUE(RunUntil(loop_, [&] { return !sent_.empty(); }));
   Answer(sent_.front().second, ReplyStatus::kOverloaded);
   ASSERT_TRUE(RunUntil(loop_, [&] { return reservation->has_value(); }));
-  EXPECT_EQ(**reservation, CallEnd::kOverloaded);
+  EXPECT_EQ(**reservation, CallStatus::kOverloaded);
 
   sent_.clear();
   auto settlement = Start(SettleTurn{}, absl::Seconds(10));
@@ -246,7 +246,7 @@
   Answer(sent_.front().second, ReplyStatus::kOverloaded);
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() > 1; })) << "asked again";
   Answer(sent_.back().second, ReplyStatus::kDone);
-  EXPECT_TRUE(RunUntil(loop_, [&] { return *settlement == CallEnd::kDone; }));
+  EXPECT_TRUE(RunUntil(loop_, [&] { return *settlement == CallStatus::kDone; }));
 }
 
 TEST_F(LedgerClientTest, ReplicasThatPointAtEachOtherAreNotAskedWithoutEnd) {
@@ -263,7 +263,7 @@
     }
     return call->has_value();
   });
-  EXPECT_EQ(**call, CallEnd::kNoAnswer);
+  EXPECT_EQ(**call, CallStatus::kDeadlineExceeded);
   EXPECT_LT(sent_.size(), 100U) << "a pause after a few hints";
 }
 
@@ -332,7 +332,7 @@
     }
     AnswerFrom(first, request, ReplyStatus::kDone);
     ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
-    EXPECT_EQ(**end, CallEnd::kDone);
+    EXPECT_EQ(**end, CallStatus::kDone);
     EXPECT_EQ(client_.SilentGroups(limit), test.silent_groups) << "a peer's word is no contact";
     EXPECT_EQ(TargetOfNextCall(), test.next_target);
   }
@@ -360,7 +360,7 @@
     EXPECT_EQ(client_.retries(), retries);
     AnswerFrom(second, request, ReplyStatus::kDone);
     ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
-    EXPECT_EQ(**end, CallEnd::kDone);
+    EXPECT_EQ(**end, CallStatus::kDone);
     EXPECT_EQ(TargetOfNextCall(), second);
   }
 }
