--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -132,7 +132,7 @@
       transport_(
           loop, [this](const std::string& payload) { OnFrame(payload); },
           [this](const std::string& payload) { exchange_.on_datagram(payload); },
-          [this](const wire::Endpoint& peer, absl::Time) { state_->ledger->OnDead(peer); }),
+          [this](const wire::Endpoint& peer, absl::Time) { state_->ledger->OnReplicaDown(peer); }),
       link_(
           transport_, [this] { return Self(); }, log,
           [this](const wire::Endpoint& peer, std::uint64_t request) {
@@ -422,12 +422,12 @@
 void GatewayRole::JudgeReadiness() {
   const readiness_options knobs;
   if (!stopping_) {  // A stop waits for the calls that are under way.
-    state_->ledger->ProbeQuietGroups(kProbeAfter);
+    state_->ledger->ProbeIdleGroups(kProbeAfter);
   }
   readiness_view view;
   view.m_now = std::chrono::steady_clock::now();
   view.m_groups = state_->ledger->probed_groups();
-  view.m_silent_groups = state_->ledger->SilentGroups(absl::FromChrono(knobs.m_silent_after));
+  view.m_silent_groups = state_->ledger->UnresponsiveGroups(absl::FromChrono(knobs.m_silent_after));
   view.m_peers = exchange_.peers();
   view.m_peers_without_ledger = exchange_.peers_without_ledger();
   bool reaches = ledger_readiness_.judge(view) || !settings_.policy.on(mechanism::readiness);
--- a/src/turn_ledger/ledger_client.cc
+++ b/src/turn_ledger/ledger_client.cc
@@ -45,7 +45,7 @@
   return known ? &groups_[group.value - 1] : nullptr;
 }
 
-bool LedgerClient::RefusesNow(const wire::Endpoint& machine) const {
+bool LedgerClient::RefusedRecently(const wire::Endpoint& machine) const {
   auto refused = refused_.find(machine);
   return refused != refused_.end() && SteadyNow() < refused->second + options_.refusal_cooldown;
 }
@@ -54,46 +54,46 @@
   // A try that goes to a dead machine is lost, and costs its whole time.
   for (std::size_t passed = 0; passed < group.machines.size(); ++passed) {
     const wire::Endpoint& machine = group.machines[group.next++ % group.machines.size()];
-    if (!RefusesNow(machine)) {
+    if (!RefusedRecently(machine)) {
       return machine;
     }
   }
   return group.machines[group.next++ % group.machines.size()];
 }
 
-void LedgerClient::OnDead(const wire::Endpoint& replica) {
-  std::erase_if(refused_, [this](const auto& entry) { return !RefusesNow(entry.first); });
+void LedgerClient::OnReplicaDown(const wire::Endpoint& replica) {
+  std::erase_if(refused_, [this](const auto& entry) { return !RefusedRecently(entry.first); });
   refused_[replica] = SteadyNow();
   for (Group& group : groups_) {
     if (group.leader == replica) {
       group.leader.reset();
     }
   }
-  for (auto& [request, waiting] : waiting_) {
-    if (!waiting->tries.empty() && waiting->tries.back().target == replica) {
-      waiting->arrived.Notify();
+  for (auto& [request, call] : pending_calls_) {
+    if (!call->attempts.empty() && call->attempts.back().target == replica) {
+      call->wakeup.Notify();
     }
   }
 }
 
 void LedgerClient::OnUnsupported(const wire::Endpoint& peer, std::uint64_t request) {
-  auto found = waiting_.find(request);
-  if (found == waiting_.end()) {
+  auto found = pending_calls_.find(request);
+  if (found == pending_calls_.end()) {
     return;
   }
-  Waiting& waiting = *found->second;
-  if (!waiting.tries.empty() && waiting.tries.back().target == peer) {
-    waiting.unsupported = true;
-    waiting.arrived.Notify();
+  PendingCall& call = *found->second;
+  if (!call.attempts.empty() && call.attempts.back().target == peer) {
+    call.unsupported = true;
+    call.wakeup.Notify();
   }
 }
 
-void LedgerClient::SetRelays(std::vector<wire::Endpoint> relays, bool lost) {
+void LedgerClient::SetRelays(std::vector<wire::Endpoint> relays, bool ledger_unreachable) {
   relays_ = std::move(relays);
-  lost_ = lost;
+  ledger_unreachable_ = ledger_unreachable;
 }
 
-bool LedgerClient::IsSilent(const Group& group, absl::Duration limit) const {
+bool LedgerClient::IsUnresponsive(const Group& group, absl::Duration limit) const {
   return group.last_answer + limit < SteadyNow();
 }
 
@@ -104,8 +104,8 @@
 std::optional<wire::Endpoint> LedgerClient::NextTarget(Group& group,
                                                        const std::optional<wire::Endpoint>& failed,
                                                        Relaying relaying) {
-  bool relay =
-      relaying == Relaying::kAllowed && !relays_.empty() && IsSilent(group, options_.relay_after);
+  bool relay = relaying == Relaying::kAllowed && !relays_.empty() &&
+               IsUnresponsive(group, options_.relay_after);
   if (relay) {
     ++relayed_;
     return relays_[next_relay_++ % relays_.size()];
@@ -122,14 +122,14 @@
   return NextMachine(group);
 }
 
-bool LedgerClient::IsBuried(const Group& group) const {
-  return group.waiting >= options_.max_waiting &&
-         group.last_sign + options_.unresponsive_after < SteadyNow();
+bool LedgerClient::IsSaturated(const Group& group) const {
+  return group.waiting_reservations >= options_.max_waiting &&
+         group.last_progress + options_.unresponsive_after < SteadyNow();
 }
 
 Task<CallResult> LedgerClient::Call(GroupId group_id, Operation operation, absl::Time deadline,
                                     Relaying relaying, Programs programs) {
-  bool counted = !std::holds_alternative<SettleTurn>(operation) &&
+  bool limited = !std::holds_alternative<SettleTurn>(operation) &&
                  !std::holds_alternative<Probe>(operation) &&
                  !std::holds_alternative<TakeQuota>(operation);
   // Named, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
@@ -139,45 +139,47 @@
   request.group = group_id;
   request.known_programs_only = programs == Programs::kKnownOnly;
   Group* group = Find(group_id);
-  if (!counted || group == nullptr) {
-    co_return co_await Try(std::move(request), deadline, relaying);
+  if (!limited || group == nullptr) {
+    co_return co_await RunCall(std::move(request), deadline, relaying);
   }
-  bool lost = lost_ && relays_.empty() && IsSilent(*group, options_.unresponsive_after);
-  if (lost || IsBuried(*group)) {
+  bool unreachable =
+      ledger_unreachable_ && relays_.empty() && IsUnresponsive(*group, options_.unresponsive_after);
+  if (unreachable || IsSaturated(*group)) {
     CallResult refused;
     refused.status = CallStatus::kOverloaded;
     co_return refused;
   }
-  if (group->waiting == 0) {
-    group->last_sign = SteadyNow();  // A quiet time is no silence.
+  if (group->waiting_reservations == 0) {
+    group->last_progress = SteadyNow();  // A quiet time is no silence.
   }
-  ++group->waiting;
-  CallResult result = co_await Try(std::move(request), deadline, relaying);
+  ++group->waiting_reservations;
+  CallResult result = co_await RunCall(std::move(request), deadline, relaying);
   if (Group* after = Find(group_id)) {
-    --after->waiting;
+    --after->waiting_reservations;
   }
   co_return result;
 }
 
-Task<CallResult> LedgerClient::Try(LedgerRequest request, absl::Time deadline, Relaying relaying) {
+Task<CallResult> LedgerClient::RunCall(LedgerRequest request, absl::Time deadline,
+                                       Relaying relaying) {
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
   GroupId group_id = request.group;
   absl::Duration max_try_timeout =
       settlement ? options_.max_settle_try_timeout : options_.max_try_timeout;
-  Waiting waiting(context_);
-  waiting_[request.request] = &waiting;
+  PendingCall call(context_);
+  pending_calls_[request.request] = &call;
   std::optional<wire::Endpoint> failed;
   CallResult result;
   absl::Duration try_timeout = options_.try_timeout;
-  std::size_t unhelpful = 0;    // Replies without a leader's address.
-  std::size_t hints = 0;        // Replies with one, since the last pause.
-  std::size_t unsupported = 0;  // Machines that don't know the operation.
+  std::size_t replies_without_leader = 0;  // Replies without a leader's address.
+  std::size_t hints = 0;                   // Replies with one, since the last pause.
+  std::size_t unsupported = 0;             // Machines that don't know the operation.
   bool first = true;
   bool may_be_committed = false;
   while (SteadyNow() < deadline) {
     retries_ += first ? 0 : 1;
     first = false;
-    waiting.reply.reset();
+    call.reply.reset();
     Group* group = Find(group_id);
     std::optional<wire::Endpoint> target;
     if (group != nullptr) {
@@ -188,12 +190,12 @@
       co_await async_http::Sleep(context_, std::min(options_.retry_delay, deadline - SteadyNow()));
       continue;
     }
-    waiting.tries.push_back({*target, IsRelay(*target)});
+    call.attempts.push_back({*target, IsRelay(*target)});
     send_(*target, request);
-    if (!waiting.unsupported) {
-      co_await waiting.arrived.Wait(std::min(try_timeout, deadline - SteadyNow()));
+    if (!call.unsupported) {
+      co_await call.wakeup.Wait(std::min(try_timeout, deadline - SteadyNow()));
     }
-    if (std::exchange(waiting.unsupported, false)) {
+    if (std::exchange(call.unsupported, false)) {
       // Another machine may lead, and know the operation.
       group = Find(group_id);
       bool last =
@@ -205,31 +207,31 @@
       failed = target;
       continue;
     }
-    if (!waiting.reply) {
+    if (!call.reply) {
       may_be_committed = true;
       failed = target;
       try_timeout = std::min(try_timeout * 2, max_try_timeout);
       continue;
     }
-    const LedgerReply& reply = *waiting.reply;
+    const LedgerReply& reply = *call.reply;
     group = Find(group_id);  // The groups may have been replaced meanwhile.
     if (group == nullptr) {
       continue;
     }
-    const Asked answered = waiting.answered;
+    const Attempt answered_attempt = call.answered_attempt;
     if (reply.status == ReplyStatus::kDone) {
-      group->last_sign = SteadyNow();
-      if (!answered.through_peer) {
-        group->leader = answered.target;
-        group->last_answer = group->last_sign;
+      group->last_progress = SteadyNow();
+      if (!answered_attempt.through_peer) {
+        group->leader = answered_attempt.target;
+        group->last_answer = group->last_progress;
       }
-      result = {CallStatus::kDone, std::move(waiting.reply->result)};
+      result = {CallStatus::kDone, std::move(call.reply->result)};
       break;
     }
     may_be_committed = may_be_committed || reply.status == ReplyStatus::kUncertain;
     if (reply.status == ReplyStatus::kOverloaded) {
-      if (!answered.through_peer) {
-        group->leader = answered.target;
+      if (!answered_attempt.through_peer) {
+        group->leader = answered_attempt.target;
         group->last_answer = SteadyNow();
       }
       if (!settlement && !may_be_committed) {
@@ -239,20 +241,20 @@
       co_await async_http::Sleep(context_, std::min(try_timeout, deadline - SteadyNow()));
       continue;
     }
-    bool hint =
-        reply.leader.port != 0 && reply.leader != answered.target && !RefusesNow(reply.leader);
+    bool hint = reply.leader.port != 0 && reply.leader != answered_attempt.target &&
+                !RefusedRecently(reply.leader);
     if (hint && ++hints <= kMaxHints) {
       group->leader = reply.leader;
       continue;
     }
     group->leader.reset();
-    if (hints > kMaxHints || ++unhelpful >= group->machines.size()) {
-      unhelpful = 0;
+    if (hints > kMaxHints || ++replies_without_leader >= group->machines.size()) {
+      replies_without_leader = 0;
       hints = 0;
       co_await async_http::Sleep(context_, std::min(options_.retry_delay, deadline - SteadyNow()));
     }
   }
-  waiting_.erase(request.request);
+  pending_calls_.erase(request.request);
   co_return result;
 }
 
@@ -260,15 +262,15 @@
   return std::min(groups_.size(), options_.max_probed_groups);
 }
 
-std::size_t LedgerClient::ProbedGroup(std::size_t place) const {
+std::size_t LedgerClient::ProbedGroupIndex(std::size_t ordinal) const {
   // Neighbouring groups share machines: the probed ones lie apart.
   std::size_t stride = groups_.size() / probed_groups();
-  return (probe_offset_ + place * stride) % groups_.size();
+  return (probe_offset_ + ordinal * stride) % groups_.size();
 }
 
-void LedgerClient::ProbeQuietGroups(absl::Duration quiet) {
-  for (std::size_t place = 0; place < probed_groups(); ++place) {
-    std::size_t index = ProbedGroup(place);
+void LedgerClient::ProbeIdleGroups(absl::Duration quiet) {
+  for (std::size_t ordinal = 0; ordinal < probed_groups(); ++ordinal) {
+    std::size_t index = ProbedGroupIndex(ordinal);
     Group& group = groups_[index];
     if (!group.probing && group.last_answer + quiet < SteadyNow()) {
       group.probing = true;
@@ -287,30 +289,32 @@
   }
 }
 
-std::size_t LedgerClient::SilentGroups(absl::Duration limit) const {
+std::size_t LedgerClient::UnresponsiveGroups(absl::Duration limit) const {
   std::size_t silent = 0;
-  for (std::size_t place = 0; place < probed_groups(); ++place) {
-    silent += IsSilent(groups_[ProbedGroup(place)], limit) ? 1 : 0;
+  for (std::size_t ordinal = 0; ordinal < probed_groups(); ++ordinal) {
+    silent += IsUnresponsive(groups_[ProbedGroupIndex(ordinal)], limit) ? 1 : 0;
   }
   return silent;
 }
 
 void LedgerClient::OnReply(const wire::Endpoint& from, const LedgerReply& reply) {
   refused_.erase(from);
-  auto found = waiting_.find(reply.request);
-  if (found == waiting_.end() || found->second->tries.empty()) {
+  auto found = pending_calls_.find(reply.request);
+  if (found == pending_calls_.end() || found->second->attempts.empty()) {
     return;  // Its call has ended: a late answer to a call that another try has answered.
   }
-  Waiting& waiting = *found->second;
-  auto answered = std::find_if(waiting.tries.rbegin(), waiting.tries.rend(),
-                               [&](const Asked& asked) { return asked.target == from; });
-  bool present = answered == waiting.tries.rbegin() || answered == waiting.tries.rend();
-  if (!present && reply.status != ReplyStatus::kDone) {
+  PendingCall& call = *found->second;
+  auto answered_attempt =
+      std::find_if(call.attempts.rbegin(), call.attempts.rend(),
+                   [&](const Attempt& attempt) { return attempt.target == from; });
+  bool current =
+      answered_attempt == call.attempts.rbegin() || answered_attempt == call.attempts.rend();
+  if (!current && reply.status != ReplyStatus::kDone) {
     return;  // A try that counts as lost already: what it says is nothing of the present one.
   }
-  waiting.reply = reply;
-  waiting.answered = present ? waiting.tries.back() : *answered;
-  waiting.arrived.Notify();
+  call.reply = reply;
+  call.answered_attempt = current ? call.attempts.back() : *answered_attempt;
+  call.wakeup.Notify();
 }
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/ledger_client.h
+++ b/src/turn_ledger/ledger_client.h
@@ -79,7 +79,7 @@
   /// Peers that reach the ledger, for as long as this process doesn't. They make the call in its
   /// place; all operations may be repeated.
   /// @param lost with no peer either, reservations are refused at once.
-  void SetRelays(std::vector<wire::Endpoint> relays, bool lost);
+  void SetRelays(std::vector<wire::Endpoint> relays, bool ledger_unreachable);
   /// @return the group that has the program. Only once groups are known.
   GroupId GroupOf(const ProgramId& program) const;
   std::size_t groups() const { return groups_.size(); }
@@ -88,14 +88,14 @@
   /// The peer asked last does not know the operation of the request of this number.
   void OnUnsupported(const wire::Endpoint& peer, std::uint64_t request);
   /// Nothing listens at `replica` any more.
-  void OnDead(const wire::Endpoint& replica);
-  std::size_t pending() const { return waiting_.size(); }
+  void OnReplicaDown(const wire::Endpoint& replica);
+  std::size_t pending() const { return pending_calls_.size(); }
   /// Asks each probed group that answered nothing for `quiet` whether it is there.
-  void ProbeQuietGroups(absl::Duration quiet);
+  void ProbeIdleGroups(absl::Duration quiet);
   /// @return how many groups are probed.
   std::size_t probed_groups() const;
   /// @return how many of the probed groups answered nothing for `limit`.
-  std::size_t SilentGroups(absl::Duration limit) const;
+  std::size_t UnresponsiveGroups(absl::Duration limit) const;
   bool has_replicas() const { return !groups_.empty() && !groups_.front().machines.empty(); }
   /// Tries beyond the first, over all calls.
   std::uint64_t retries() const { return retries_; }
@@ -104,47 +104,48 @@
 
  private:
   /// Whom one try of a call went to.
-  struct Asked {
+  struct Attempt {
     wire::Endpoint target;
     bool through_peer = false;  ///< A peer was to make the call, whoever is wanted as one now.
   };
 
-  struct Waiting {
-    explicit Waiting(async_http::asio::io_context& context) : arrived(context) {}
-    async_http::Signal arrived;
+  struct PendingCall {
+    explicit PendingCall(async_http::asio::io_context& context) : wakeup(context) {}
+    async_http::Signal wakeup;
     std::optional<LedgerReply> reply;
-    bool unsupported = false;  ///< The peer asked last doesn't know the operation.
-    Asked answered;            ///< The try that `reply` answers.
-    std::vector<Asked> tries;  ///< The last one is waited for now.
+    bool unsupported = false;       ///< The peer asked last doesn't know the operation.
+    Attempt answered_attempt;       ///< The try that `reply` answers.
+    std::vector<Attempt> attempts;  ///< The last one is waited for now.
   };
 
   /// What is known of one group.
   struct Group {
     std::vector<wire::Endpoint> machines;
     std::optional<wire::Endpoint> leader;
-    std::size_t next = 0;     ///< The machine to ask when no leader is known.
-    std::size_t waiting = 0;  ///< Reservations under way.
+    std::size_t next = 0;                  ///< The machine to ask when no leader is known.
+    std::size_t waiting_reservations = 0;  ///< Reservations under way.
     /// When a reservation was last answered, or began to wait with no other waiting.
-    absl::Time last_sign = absl::InfinitePast();
+    absl::Time last_progress = absl::InfinitePast();
     /// When its leader last answered anything, or the group became known.
     absl::Time last_answer = absl::InfinitePast();
     bool probing = false;
   };
 
   Group* Find(GroupId group);
-  bool RefusesNow(const wire::Endpoint& machine) const;
+  bool RefusedRecently(const wire::Endpoint& machine) const;
   /// @return the group's next machine in turn, if there is one that doesn't refuse.
   wire::Endpoint NextMachine(Group& group) const;
   /// @return the index of the `place`th probed group.
-  std::size_t ProbedGroup(std::size_t place) const;
-  bool IsBuried(const Group& group) const;
+  std::size_t ProbedGroupIndex(std::size_t ordinal) const;
+  bool IsSaturated(const Group& group) const;
   async_http::Task<void> ProbeGroup(GroupId group);
   /// Tries until the call has ended; `Call` counts those that wait.
-  async_http::Task<CallResult> Try(LedgerRequest request, absl::Time deadline, Relaying relaying);
+  async_http::Task<CallResult> RunCall(LedgerRequest request, absl::Time deadline,
+                                       Relaying relaying);
   std::optional<wire::Endpoint> NextTarget(Group& group,
                                            const std::optional<wire::Endpoint>& failed,
                                            Relaying relaying);
-  bool IsSilent(const Group& group, absl::Duration limit) const;
+  bool IsUnresponsive(const Group& group, absl::Duration limit) const;
   bool IsRelay(const wire::Endpoint& target) const;
 
   async_http::asio::io_context& context_;
@@ -155,8 +156,8 @@
   std::vector<Group> groups_;
   std::vector<wire::Endpoint> relays_;
   std::size_t next_relay_ = 0;
-  bool lost_ = false;
-  std::map<std::uint64_t, Waiting*> waiting_;
+  bool ledger_unreachable_ = false;
+  std::map<std::uint64_t, PendingCall*> pending_calls_;
   std::map<wire::Endpoint, absl::Time> refused_;  ///< When each refused last; old ones are dropped.
   std::uint64_t retries_ = 0;
   std::uint64_t relayed_ = 0;
--- a/tests/turn_ledger/ledger_client_test.cc
+++ b/tests/turn_ledger/ledger_client_test.cc
@@ -87,14 +87,14 @@
   std::size_t most = LedgerClientOptions{}.max_probed_groups;
   EXPECT_EQ(client_.probed_groups(), most);
   absl::SleepFor(absl::Milliseconds(5));
-  client_.ProbeQuietGroups(absl::Milliseconds(1));
+  client_.ProbeIdleGroups(absl::Milliseconds(1));
   loop_.RunRound(absl::Milliseconds(1));
   std::set<std::uint32_t> probed;
   for (const auto& [to, request] : sent_) {
     probed.insert(request.group.value);
   }
   EXPECT_EQ(probed.size(), most);
-  EXPECT_EQ(client_.SilentGroups(absl::Milliseconds(1)), most);
+  EXPECT_EQ(client_.UnresponsiveGroups(absl::Milliseconds(1)), most);
   std::uint32_t before = 0;
   for (std::uint32_t group : probed) {
     EXPECT_TRUE(before == 0 || group - before >= kGroups / most) << "neighbours share machines";
@@ -130,20 +130,20 @@
 }
 
 TEST_F(LedgerClientTest, QuietGroupIsProbedAndCountsAsSilentOnlyWhileItDoesNotAnswer) {
-  EXPECT_EQ(client_.SilentGroups(absl::Milliseconds(450)), 0U) << "it was only just heard of";
-  auto silent = [&] { return client_.SilentGroups(absl::Milliseconds(450)) == 1; };
+  EXPECT_EQ(client_.UnresponsiveGroups(absl::Milliseconds(450)), 0U) << "it was only just heard of";
+  auto silent = [&] { return client_.UnresponsiveGroups(absl::Milliseconds(450)) == 1; };
   ASSERT_TRUE(RunUntil(loop_, [&] {
-    client_.ProbeQuietGroups(absl::Milliseconds(250));
+    client_.ProbeIdleGroups(absl::Milliseconds(250));
     return silent();
   }));
   ASSERT_FALSE(sent_.empty());
   EXPECT_TRUE(std::holds_alternative<Probe>(sent_.back().second.operation));
   std::size_t probes = sent_.size();
-  client_.ProbeQuietGroups(absl::Milliseconds(250));
+  client_.ProbeIdleGroups(absl::Milliseconds(250));
   loop_.RunRound(absl::Milliseconds(1));
   EXPECT_LE(sent_.size(), probes + 1) << "one probe at a time";
   ASSERT_TRUE(RunUntil(loop_, [&] {
-    client_.ProbeQuietGroups(absl::Milliseconds(250));
+    client_.ProbeIdleGroups(absl::Milliseconds(250));
     Answer(sent_.back().second, ReplyStatus::kDone);
     return !silent();
   }));
@@ -156,19 +156,22 @@
 TEST_F(LedgerClientTest, SilentGroupIsAskedThroughAPeerAndDirectlyAgainOnceItAnswers) {
   const wire::Endpoint peer{"10.0.0.77", 1};
   auto end = Start(ReserveTurn{}, absl::Seconds(10));
-  ASSERT_TRUE(RunUntil(loop_, [&] { return client_.SilentGroups(absl::Milliseconds(300)) == 1; }));
-  client_.SetRelays({peer}, /*lost=*/true);
+  ASSERT_TRUE(
+      RunUntil(loop_, [&] { return client_.UnresponsiveGroups(absl::Milliseconds(300)) == 1; }));
+  client_.SetRelays({peer}, /*ledger_unreachable=*/true);
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.back().first == peer; }));
   Answer(sent_.back().second, ReplyStatus::kDone);
   ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
   EXPECT_EQ(**end, CallStatus::kDone);
-  EXPECT_EQ(client_.SilentGroups(absl::Milliseconds(300)), 1U) << "a peer's word is no contact";
+  EXPECT_EQ(client_.UnresponsiveGroups(absl::Milliseconds(300)), 1U)
+      << "a peer's word is no contact";
   EXPECT_GT(client_.relayed(), 0U);
 
-  client_.ProbeQuietGroups(absl::Milliseconds(250));
+  client_.ProbeIdleGroups(absl::Milliseconds(250));
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.back().first != peer; })) << "probes go straight";
   Answer(sent_.back().second, ReplyStatus::kDone);
-  ASSERT_TRUE(RunUntil(loop_, [&] { return client_.SilentGroups(absl::Milliseconds(300)) == 0; }));
+  ASSERT_TRUE(
+      RunUntil(loop_, [&] { return client_.UnresponsiveGroups(absl::Milliseconds(300)) == 0; }));
   std::size_t before = sent_.size();
   auto next = Start(ReserveTurn{}, absl::Seconds(10));
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() > before; }));
@@ -181,7 +184,7 @@
 // When a leader had stopped and handed over within 6 ms, calls took 200.6 to 201.6 ms all the same:
 // the next machine in turn was the one that had just refused a connection, and that try was lost.
 TEST_F(LedgerClientTest, MachineThatRefusesConnectionsIsPassedOverForAWhile) {
-  client_.OnDead(kFirst);
+  client_.OnReplicaDown(kFirst);
   for (int call = 0; call < 4; ++call) {
     auto end = Start(Probe{}, absl::Seconds(2));
     ASSERT_TRUE(
@@ -191,16 +194,16 @@
     reply.request = sent_.back().second.request;
     reply.status = ReplyStatus::kDone;
     client_.OnReply(kSecond, reply);
-    client_.OnDead(kSecond);  // So that no leader is known for the next call.
-    client_.OnDead(kFirst);
+    client_.OnReplicaDown(kSecond);  // So that no leader is known for the next call.
+    client_.OnReplicaDown(kFirst);
     client_.OnReply(kSecond, reply);  // A late one, which shows that it is there again.
     ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
   }
 }
 
 TEST_F(LedgerClientTest, MachinesThatAllRefuseAreAskedAllTheSame) {
-  client_.OnDead(kFirst);
-  client_.OnDead(kSecond);
+  client_.OnReplicaDown(kFirst);
+  client_.OnReplicaDown(kSecond);
   auto end = Start(Probe{}, absl::Milliseconds(300));
   ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
   EXPECT_FALSE(sent_.empty());
@@ -208,7 +211,7 @@
 }
 
 TEST_F(LedgerClientTest, HintThatNamesAMachineThatRefusesIsNotFollowed) {
-  client_.OnDead(kFirst);
+  client_.OnReplicaDown(kFirst);
   auto end = Start(Probe{}, absl::Milliseconds(150));
   ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() == 1; }));
   LedgerReply reply;
@@ -224,8 +227,9 @@
 }
 
 TEST_F(LedgerClientTest, LostLedgerWithoutAPeerRefusesAtOnce) {
-  ASSERT_TRUE(RunUntil(loop_, [&] { return client_.SilentGroups(absl::Milliseconds(450)) == 1; }));
-  client_.SetRelays({}, /*lost=*/true);
+  ASSERT_TRUE(
+      RunUntil(loop_, [&] { return client_.UnresponsiveGroups(absl::Milliseconds(450)) == 1; }));
+  client_.SetRelays({}, /*ledger_unreachable=*/true);
   auto end = Start(ReserveTurn{}, absl::Seconds(10));
   std::size_t sent = sent_.size();
   ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
@@ -316,24 +320,25 @@
     client_.SetGroups({});
     client_.SetGroups({{kFirst, kSecond}});
     sent_.clear();
-    ASSERT_TRUE(RunUntil(loop_, [&] { return client_.SilentGroups(limit) == 1; }));
+    ASSERT_TRUE(RunUntil(loop_, [&] { return client_.UnresponsiveGroups(limit) == 1; }));
     if (test.through_peer) {
-      client_.SetRelays({peer}, /*lost=*/false);
+      client_.SetRelays({peer}, /*ledger_unreachable=*/false);
     }
     auto end = Start(ReserveTurn{}, absl::Seconds(60));
     ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() == 1; }));
     auto [first, request] = sent_.front();
     EXPECT_EQ(first == peer, test.through_peer);
-    client_.SetRelays({}, /*lost=*/false);
+    client_.SetRelays({}, /*ledger_unreachable=*/false);
     if (test.tried_again) {
-      client_.OnDead(first);
+      client_.OnReplicaDown(first);
       ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() == 2; }));
       EXPECT_NE(sent_.back().first, first);
     }
     AnswerFrom(first, request, ReplyStatus::kDone);
     ASSERT_TRUE(RunUntil(loop_, [&] { return end->has_value(); }));
     EXPECT_EQ(**end, CallStatus::kDone);
-    EXPECT_EQ(client_.SilentGroups(limit), test.silent_groups) << "a peer's word is no contact";
+    EXPECT_EQ(client_.UnresponsiveGroups(limit), test.silent_groups)
+        << "a peer's word is no contact";
     EXPECT_EQ(TargetOfNextCall(), test.next_target);
   }
 }
@@ -350,7 +355,7 @@
     auto end = Start(SettleTurn{}, absl::Seconds(60));
     ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() == 1; }));
     auto [first, request] = sent_.front();
-    client_.OnDead(first);
+    client_.OnReplicaDown(first);
     ASSERT_TRUE(RunUntil(loop_, [&] { return sent_.size() == 2; }));
     wire::Endpoint second = sent_.back().first;
     std::uint64_t retries = client_.retries();
