--- a/src/turn_ledger/chain/chain_messages.h
+++ b/src/turn_ledger/chain/chain_messages.h
@@ -35,7 +35,7 @@
 {
     std::uint64_t m_request = 0;
     /// false on machines that are no replica at present
-    bool m_has_state = false;
+    bool m_is_replica = false;
     /// false when this replica doesn't have the turn (yet)
     bool m_found = false;
     /// the text begins after the chain that the requester holds
@@ -46,7 +46,7 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(m_request, m_has_state, m_found, m_after_known, m_text);
+        archive(m_request, m_is_replica, m_found, m_after_known, m_text);
     }
 };
 
--- a/src/turn_ledger/chain/chain_reader.h
+++ b/src/turn_ledger/chain/chain_reader.h
@@ -34,9 +34,9 @@
     /// then another replica is asked
     std::chrono::milliseconds m_try_timeout{120};
     /// replicas asked at most for one chain
-    std::size_t m_most_tries = 3;
+    std::size_t m_max_tries = 3;
     /// for how long a machine that was silent, or is no replica, is asked last
-    std::chrono::milliseconds m_avoidance{3000};
+    std::chrono::milliseconds m_avoid_duration{3000};
 };
 
 /// @brief asks replicas for chains; on the loop's thread only
@@ -57,10 +57,11 @@
 
     /// @brief replaces what is known of a group
     /// @param[in] machines   all that may have a replica, the likely ones first
-    /// @param[in] likely     how many of them are
-    void set_machines(GroupId group, std::vector<Machine> machines, std::size_t likely)
+    /// @param[in] likely_count     how many of them are
+    void set_machines(GroupId group, std::vector<Machine> machines, std::size_t likely_count)
     {
-        auto last_likely = machines.begin() + static_cast<std::ptrdiff_t>(std::min(likely, machines.size()));
+        auto last_likely =
+            machines.begin() + static_cast<std::ptrdiff_t>(std::min(likely_count, machines.size()));
         std::stable_partition(machines.begin(), last_likely,
                               [this](const Machine& machine)
                               {
@@ -78,17 +79,17 @@
         for (const wire::Endpoint& target : targets)
         {
             chain_request request{++m_last_request, group, turn, known};
-            waiting_read waiting(m_context);
-            m_waiting[request.m_request] = &waiting;
+            pending_read pending(m_context);
+            m_pending[request.m_request] = &pending;
             m_send(target, request);
-            co_await waiting.m_arrived.Wait(absl::FromChrono(m_options.m_try_timeout));
-            m_waiting.erase(request.m_request);
-            bool useful = waiting.m_reply && waiting.m_reply->m_has_state;
+            co_await pending.m_reply_arrived.Wait(absl::FromChrono(m_options.m_try_timeout));
+            m_pending.erase(request.m_request);
+            bool useful = pending.m_reply && pending.m_reply->m_is_replica;
             m_avoided_until[{group, target}] =
-                useful ? absl::InfinitePast() : SteadyNow() + absl::FromChrono(m_options.m_avoidance);
-            if (waiting.m_reply && waiting.m_reply->m_found)
+                useful ? absl::InfinitePast() : SteadyNow() + absl::FromChrono(m_options.m_avoid_duration);
+            if (pending.m_reply && pending.m_reply->m_found)
             {
-                co_return std::move(waiting.m_reply);
+                co_return std::move(pending.m_reply);
             }
         }
         co_return std::nullopt;
@@ -97,21 +98,21 @@
     /// @brief a replica answered
     void on_reply(chain_reply reply)
     {
-        auto found = m_waiting.find(reply.m_request);
-        if (found != m_waiting.end())
+        auto found = m_pending.find(reply.m_request);
+        if (found != m_pending.end())
         {
             found->second->m_reply = std::move(reply);
-            found->second->m_arrived.Notify();
+            found->second->m_reply_arrived.Notify();
         }
     }
 
   private:
-    struct waiting_read
+    struct pending_read
     {
-        explicit waiting_read(async_http::asio::io_context& context) : m_arrived(context)
+        explicit pending_read(async_http::asio::io_context& context) : m_reply_arrived(context)
         {
         }
-        async_http::Signal m_arrived;
+        async_http::Signal m_reply_arrived;
         std::optional<chain_reply> m_reply;
     };
 
@@ -127,7 +128,7 @@
             (avoid ? avoided : targets).push_back(machine.endpoint);
         }
         targets.insert(targets.end(), avoided.begin(), avoided.end());
-        targets.resize(std::min(targets.size(), m_options.m_most_tries));
+        targets.resize(std::min(targets.size(), m_options.m_max_tries));
         return targets;
     }
 
@@ -138,7 +139,7 @@
     chain_reader_options m_options;
     std::map<GroupId, std::vector<Machine>> m_machines;
     std::map<std::pair<GroupId, wire::Endpoint>, absl::Time> m_avoided_until;
-    std::map<std::uint64_t, waiting_read*> m_waiting;
+    std::map<std::uint64_t, pending_read*> m_pending;
 };
 
 /// @brief the reader that gateways use
--- a/src/turn_ledger/turn_state.cc
+++ b/src/turn_ledger/turn_state.cc
@@ -169,7 +169,7 @@
 chain_reply TurnState::ReadChain(const chain_request& request) const {
   chain_reply reply;
   reply.m_request = request.m_request;
-  reply.m_has_state = true;
+  reply.m_is_replica = true;
   if (!turns_.contains(request.m_turn)) {
     return reply;
   }
--- a/tests/turn_ledger/ledger_client_test.cc
+++ b/tests/turn_ledger/ledger_client_test.cc
@@ -391,7 +391,7 @@
     }
     chain_reply reply;
     reply.m_request = request.m_request;
-    reply.m_has_state = true;
+    reply.m_is_replica = true;
     reply.m_found = to != behind_;
     reply.m_text = "chain";
     async_http::asio::post(loop_.context(), [this, reply] { reader_.on_reply(reply); });
