--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -377,7 +377,7 @@
 // ---- Peers and the ledger ----
 
 void GatewayRole::OnFrame(const std::string& payload) {
-  std::optional<turn_ledger::read_message> read = link_.read(payload);
+  std::optional<turn_ledger::decoded_message> read = link_.read(payload);
   if (!read) {
     return;
   }
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -498,7 +498,7 @@
 // ---- Peers ----
 
 void LedgerRole::OnFrame(const std::string& payload) {
-  std::optional<turn_ledger::read_message> read = link_.read(payload);
+  std::optional<turn_ledger::decoded_message> read = link_.read(payload);
   if (!read) {
     return;
   }
--- a/src/roles/peers/peer_link.cc
+++ b/src/roles/peers/peer_link.cc
@@ -163,10 +163,10 @@
 
 // ---- In ----
 
-std::optional<turn_ledger::read_message> peer_link::read(const std::string& payload)
+std::optional<turn_ledger::decoded_message> peer_link::read(const std::string& payload)
 {
-    turn_ledger::frame came = turn_ledger::decode_frame(payload);
-    if (auto* message = std::get_if<turn_ledger::read_message>(&came))
+    turn_ledger::decoded_frame came = turn_ledger::decode_frame(payload);
+    if (auto* message = std::get_if<turn_ledger::decoded_message>(&came))
     {
         const turn_ledger::Machine& from = message->m_envelope.from;
         note_heard(from.endpoint, from.name, message->m_sender_reads);
--- a/src/roles/peers/peer_link.h
+++ b/src/roles/peers/peer_link.h
@@ -68,7 +68,7 @@
     void tell(const wire::Endpoint& to, turn_ledger::Body body);
 
     /// @return the message that a frame's payload holds, if it is one for the owner
-    std::optional<turn_ledger::read_message> read(const std::string& payload);
+    std::optional<turn_ledger::decoded_message> read(const std::string& payload);
 
     const peer_link_stats& stats() const
     {
--- a/src/turn_ledger/frames/frame_codec.cc
+++ b/src/turn_ledger/frames/frame_codec.cc
@@ -18,23 +18,23 @@
 
 constexpr Layout first_marked = Layout::kMarked3;
 
-frame unreadable(const wire::FrameMark& mark, absl::string_view message)
+decoded_frame unreadable(const wire::FrameMark& mark, absl::string_view message)
 {
-    unreadable_frame told{mark.layout, mark.newest, {}};
+    unreadable_frame unreadable_message{mark.layout, mark.newest, {}};
     // Every message begins with its sender, whose members have never changed.
     if (auto from = wire::DecodeBeginning<Machine>(message))
     {
-        told.m_from = from->name;
+        unreadable_message.m_from = from->name;
     }
-    return told;
+    return unreadable_message;
 }
 
-frame decode_marked(const wire::FrameMark& mark, absl::string_view message)
+decoded_frame decode_marked(const wire::FrameMark& mark, absl::string_view message)
 {
     if (mark.layout == wire::kGreetingLayout)
     {
         auto greeting = wire::DecodeGreeting(message);
-        return greeting ? frame(greeting_frame{*std::move(greeting), mark.newest})
+        return greeting ? decoded_frame(greeting_frame{*std::move(greeting), mark.newest})
                         : unreadable(mark, message);
     }
     auto layout = static_cast<Layout>(mark.layout);
@@ -47,10 +47,10 @@
     {
         return unreadable(mark, message);
     }
-    return read_message{*std::move(envelope), layout, common_layout(mark.newest)};
+    return decoded_message{*std::move(envelope), layout, common_layout(mark.newest)};
 }
 
-frame decode_unmarked(const std::string& payload)
+decoded_frame decode_unmarked(const std::string& payload)
 {
     // No bytes are a message of both layouts: the later one adds bytes to the same beginning, and a reader
     // takes nothing but exactly one message.
@@ -58,9 +58,9 @@
     {
         if (auto envelope = wire::Decode<Envelope>(payload, layout))
         {
-            bool alike = reads_alike(envelope->body);
-            return read_message{*std::move(envelope), layout,
-                                alike ? std::nullopt : std::make_optional(layout)};
+            bool same_bytes = same_in_all_layouts(envelope->body);
+            return decoded_message{*std::move(envelope), layout,
+                                   same_bytes ? std::nullopt : std::make_optional(layout)};
         }
     }
     return unreadable({}, payload);
@@ -80,7 +80,7 @@
     return static_cast<Layout>(std::min(newest, static_cast<std::uint16_t>(wire::kNewestLayout)));
 }
 
-frame decode_frame(const std::string& payload)
+decoded_frame decode_frame(const std::string& payload)
 {
     absl::string_view message = payload;
     if (auto mark = wire::TakeMark(message))
@@ -105,7 +105,7 @@
     return wire::Mark(mark, message);
 }
 
-bool reads_alike(const Body& body)
+bool same_in_all_layouts(const Body& body)
 {
     return !std::holds_alternative<LedgerRequest>(body) && !std::holds_alternative<LedgerReply>(body);
 }
--- a/src/turn_ledger/frames/frame_codec.h
+++ b/src/turn_ledger/frames/frame_codec.h
@@ -14,7 +14,7 @@
 {
 
 /// @brief a message as a frame brought it
-struct read_message
+struct decoded_message
 {
     Envelope m_envelope;
     /// of the frame's bytes: an answer goes back in it
@@ -42,19 +42,19 @@
     std::uint16_t m_newest = 0;
 };
 
-using frame = std::variant<read_message, greeting_frame, unreadable_frame>;
+using decoded_frame = std::variant<decoded_message, greeting_frame, unreadable_frame>;
 
 /// @return the layout to write to a process in that reads up to `newest`
 wire::Layout common_layout(std::uint16_t newest);
 
 /// @brief reads the payload of a frame
-frame decode_frame(const std::string& payload);
+decoded_frame decode_frame(const std::string& payload);
 
 /// @return the frame's payload, or nothing when the layout does not have the message: whoever reads it
 ///         doesn't know the operation
 std::optional<std::string> encode_frame(const Envelope& envelope, wire::Layout layout);
 
 /// @return whether messages of this kind have the same bytes in all layouts
-bool reads_alike(const Body& body);
+bool same_in_all_layouts(const Body& body);
 
 }  // namespace martenyard::turn_ledger
--- a/tests/layouts/layouts_test.cc
+++ b/tests/layouts/layouts_test.cc
@@ -61,8 +61,8 @@
                 {
                     return;  // The layout has no such message; the writer has just agreed.
                 }
-                turn_ledger::frame read = turn_ledger::decode_frame(expected);
-                auto* as_message = std::get_if<turn_ledger::read_message>(&read);
+                turn_ledger::decoded_frame read = turn_ledger::decode_frame(expected);
+                auto* as_message = std::get_if<turn_ledger::decoded_message>(&read);
                 ASSERT_NE(as_message, nullptr) << sample << " in " << name;
                 EXPECT_EQ(encode_frame(as_message->m_envelope, layout).value_or(""), expected)
                     << sample << " in " << name;
--- a/tests/roles/peers/peer_link_test.cc
+++ b/tests/roles/peers/peer_link_test.cc
@@ -111,7 +111,7 @@
         return m_endpoint;
     }
 
-    std::vector<turn_ledger::read_message> m_requests;
+    std::vector<turn_ledger::decoded_message> m_requests;
     std::vector<std::uint64_t> m_answered;
     std::vector<std::uint64_t> m_unsupported;
 
@@ -202,8 +202,8 @@
     present_process ledger(m_loop);
     present_process gateway(m_loop);
     ASSERT_TRUE(ask(gateway, ledger.endpoint(), layouts::reservation()));
-    const turn_ledger::read_message* first = nullptr;
-    for (const turn_ledger::read_message& message : ledger.m_requests)
+    const turn_ledger::decoded_message* first = nullptr;
+    for (const turn_ledger::decoded_message& message : ledger.m_requests)
     {
         bool probe = std::holds_alternative<turn_ledger::Probe>(
             std::get<LedgerRequest>(message.m_envelope.body).operation);
--- a/tests/turn_ledger/frames/frame_codec_test.cc
+++ b/tests/turn_ledger/frames/frame_codec_test.cc
@@ -24,7 +24,7 @@
 TEST(FrameCodec, LaterBuildsFrameIsNamedAndNotRead)
 {
     std::string payload = wire::Mark({newest + 1, newest + 4}, wire::Encode(probe()) + "more");
-    frame read = decode_frame(payload);
+    decoded_frame read = decode_frame(payload);
     auto* unreadable = std::get_if<unreadable_frame>(&read);
     ASSERT_NE(unreadable, nullptr);
     EXPECT_EQ(unreadable->m_layout, newest + 1);
@@ -34,8 +34,8 @@
 
 TEST(FrameCodec, LaterBuildThatWritesAKnownLayoutIsWrittenToInTheNewestOfThisBuild)
 {
-    frame read = decode_frame(wire::Mark({newest, newest + 4}, wire::Encode(probe())));
-    auto* message = std::get_if<read_message>(&read);
+    decoded_frame read = decode_frame(wire::Mark({newest, newest + 4}, wire::Encode(probe())));
+    auto* message = std::get_if<decoded_message>(&read);
     ASSERT_NE(message, nullptr);
     EXPECT_EQ(message->m_sender_reads, wire::kNewestLayout);
 }
@@ -43,7 +43,7 @@
 TEST(FrameCodec, GreetingOfALaterBuildIsReadWhateverStandsBehindIt)
 {
     wire::Greeting greeting{{"10.0.0.9", 7381}, "edge-1", "later", true};
-    frame read =
+    decoded_frame read =
         decode_frame(wire::Mark({wire::kGreetingLayout, newest + 4}, wire::Encode(greeting) + "more"));
     auto* greeted = std::get_if<greeting_frame>(&read);
     ASSERT_NE(greeted, nullptr);
@@ -94,8 +94,8 @@
     for (Body body : {Body(reply), Body(request)})
     {
         std::string payload = *encode_frame({layouts::storage_machine(), body}, layout);
-        frame read = decode_frame(payload);
-        auto* message = std::get_if<read_message>(&read);
+        decoded_frame read = decode_frame(payload);
+        auto* message = std::get_if<decoded_message>(&read);
         RC_ASSERT(message != nullptr);
         RC_ASSERT(message->m_layout == layout);
         RC_ASSERT(encode_frame(message->m_envelope, layout) == payload);
