--- a/src/roles/peers/peer_link.cc
+++ b/src/roles/peers/peer_link.cc
@@ -43,7 +43,7 @@
 void peer_link::ask(const wire::Endpoint& to, Body request)
 {
     instant now = SteadyInstant();
-    bool unknown = m_layouts.note_request(now, to);
+    bool unknown = m_layouts.on_request(now, to);
     std::optional<Layout> reads = m_layouts.of(to);
     if (unknown)
     {
@@ -157,7 +157,7 @@
 
 void peer_link::on_closed(const wire::Endpoint& peer)
 {
-    m_layouts.note_closed(peer);
+    m_layouts.on_connection_closed(peer);
     m_stats.m_dropped += take_waiting(SteadyInstant(), peer).size();
 }
 
@@ -201,7 +201,7 @@
 
 void peer_link::note_heard(const wire::Endpoint& from, const std::string& name, std::optional<Layout> reads)
 {
-    bool news = m_layouts.note_heard(from, reads);
+    bool news = m_layouts.on_frame_received(from, reads);
     if (!news)
     {
         return;
--- a/src/turn_ledger/frames/peer_layouts.cc
+++ b/src/turn_ledger/frames/peer_layouts.cc
@@ -15,48 +15,49 @@
     return found == m_peers.end() ? std::nullopt : found->second.m_reads;
 }
 
-bool peer_layouts::note_request(instant now, const wire::Endpoint& endpoint)
+bool peer_layouts::on_request(instant now, const wire::Endpoint& endpoint)
 {
-    peer& to = m_peers[endpoint];
-    if (!to.m_unanswered)
+    peer& state = m_peers[endpoint];
+    if (!state.m_unanswered_since)
     {
-        to.m_unanswered = now;
+        state.m_unanswered_since = now;
     }
-    bool silent = now - *to.m_unanswered >= m_options.m_doubt_after;
-    to.m_doubted = to.m_doubted || silent;
-    bool just_asked = to.m_asked && now - *to.m_asked < to.m_pause;
-    if ((to.m_reads && !to.m_doubted) || just_asked)
+    bool unanswered = now - *state.m_unanswered_since >= m_options.m_unanswered_limit;
+    state.m_stale = state.m_stale || unanswered;
+    bool asked_recently = state.m_last_asked && now - *state.m_last_asked < state.m_ask_interval;
+    if ((state.m_reads && !state.m_stale) || asked_recently)
     {
         return false;
     }
-    to.m_asked = now;
-    to.m_pause = std::clamp(2 * to.m_pause, m_options.m_ask_again, m_options.m_longest_pause);
+    state.m_last_asked = now;
+    state.m_ask_interval =
+        std::clamp(2 * state.m_ask_interval, m_options.m_initial_ask_interval, m_options.m_max_ask_interval);
     return true;
 }
 
-bool peer_layouts::note_heard(const wire::Endpoint& endpoint, std::optional<wire::Layout> reads)
+bool peer_layouts::on_frame_received(const wire::Endpoint& endpoint, std::optional<wire::Layout> reads)
 {
     auto found = m_peers.find(endpoint);
     if (found == m_peers.end())
     {
         return false;  // Nothing was asked of it on this connection.
     }
-    peer& from = found->second;
-    from.m_unanswered.reset();
-    from.m_pause = m_options.m_ask_again;
+    peer& state = found->second;
+    state.m_unanswered_since.reset();
+    state.m_ask_interval = m_options.m_initial_ask_interval;
     // A process that reads several layouts answers each question in its own.
-    bool news = reads && (!from.m_reads || from.m_doubted || *reads > *from.m_reads);
-    if (!news)
+    bool is_update = reads && (!state.m_reads || state.m_stale || *reads > *state.m_reads);
+    if (!is_update)
     {
         return false;
     }
-    from.m_doubted = false;
-    bool changed = from.m_reads != reads;
-    from.m_reads = reads;
+    state.m_stale = false;
+    bool changed = state.m_reads != reads;
+    state.m_reads = reads;
     return changed;
 }
 
-void peer_layouts::note_closed(const wire::Endpoint& endpoint)
+void peer_layouts::on_connection_closed(const wire::Endpoint& endpoint)
 {
     m_peers.erase(endpoint);
 }
--- a/src/turn_ledger/frames/peer_layouts.h
+++ b/src/turn_ledger/frames/peer_layouts.h
@@ -21,11 +21,11 @@
 {
     /// a peer that didn't say what it is gets the next question after this time, and each further one after
     /// twice the time: a lost try of a ledger call is given up as soon
-    std::chrono::milliseconds m_ask_again{200};
+    std::chrono::milliseconds m_initial_ask_interval{200};
     /// so that a machine that stands still isn't met by the questions of a whole fleet when it goes on
-    std::chrono::milliseconds m_longest_pause{3200};
+    std::chrono::milliseconds m_max_ask_interval{3200};
     /// a request without any frame back for this long makes what is known doubtful: two tries of a call
-    std::chrono::milliseconds m_doubt_after{400};
+    std::chrono::milliseconds m_unanswered_limit{400};
 };
 
 class peer_layouts
@@ -40,15 +40,15 @@
 
     /// @brief a request is about to be sent to the peer
     /// @return whether to ask it first what it reads
-    bool note_request(instant now, const wire::Endpoint& peer);
+    bool on_request(instant now, const wire::Endpoint& peer);
 
     /// @brief a frame of the peer came
     /// @param[in] reads  the newest layout that it reads, if the frame tells
     /// @return whether that changed what is known
-    bool note_heard(const wire::Endpoint& peer, std::optional<wire::Layout> reads);
+    bool on_frame_received(const wire::Endpoint& peer, std::optional<wire::Layout> reads);
 
     /// @brief the connection to the peer is gone, and maybe its process
-    void note_closed(const wire::Endpoint& peer);
+    void on_connection_closed(const wire::Endpoint& peer);
 
     /// @return peers that are known to read less than this build writes
     std::size_t earlier_peers() const;
@@ -58,12 +58,12 @@
     {
         std::optional<wire::Layout> m_reads;
         /// what comes next replaces what is known, be it less
-        bool m_doubted = false;
-        std::optional<instant> m_asked;
+        bool m_stale = false;
+        std::optional<instant> m_last_asked;
         /// to the next question
-        std::chrono::milliseconds m_pause{0};
+        std::chrono::milliseconds m_ask_interval{0};
         /// when the first of the requests was sent that nothing came back after
-        std::optional<instant> m_unanswered;
+        std::optional<instant> m_unanswered_since;
     };
 
     peer_layouts_options m_options;
--- a/tests/turn_ledger/frames/peer_layouts_test.cc
+++ b/tests/turn_ledger/frames/peer_layouts_test.cc
@@ -19,7 +19,7 @@
     bool request_after(int ms)
     {
         m_now += milliseconds(ms);
-        return m_layouts.note_request(m_now, peer);
+        return m_layouts.on_request(m_now, peer);
     }
 
     peer_layouts m_layouts;
@@ -43,19 +43,19 @@
     }
     EXPECT_LE(asked, 10) << "after 0.2, 0.6, 1.4, 3.0, 6.2 s, then each 3.2 s";
     EXPECT_GE(asked, 8);
-    m_layouts.note_heard(peer, Layout::kMarked3);
+    m_layouts.on_frame_received(peer, Layout::kMarked3);
     EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3);
 }
 
 TEST_F(PeerLayouts, KnownPeerIsNotAskedAgainWhileItAnswers)
 {
     request_after(0);
-    EXPECT_TRUE(m_layouts.note_heard(peer, Layout::kUnmarked1));
-    EXPECT_FALSE(m_layouts.note_heard(peer, Layout::kUnmarked1)) << "no news";
+    EXPECT_TRUE(m_layouts.on_frame_received(peer, Layout::kUnmarked1));
+    EXPECT_FALSE(m_layouts.on_frame_received(peer, Layout::kUnmarked1)) << "no news";
     for (int second = 0; second < 5; ++second)
     {
         EXPECT_FALSE(request_after(1000));
-        m_layouts.note_heard(peer, std::nullopt);
+        m_layouts.on_frame_received(peer, std::nullopt);
     }
     EXPECT_EQ(m_layouts.of(peer), Layout::kUnmarked1);
 }
@@ -63,9 +63,9 @@
 TEST_F(PeerLayouts, ProcessThatAnswersEachQuestionInItsOwnLayoutIsKnownByTheNewest)
 {
     request_after(0);
-    m_layouts.note_heard(peer, Layout::kMarked3);
-    m_layouts.note_heard(peer, Layout::kUnmarked2);
-    m_layouts.note_heard(peer, Layout::kUnmarked1);
+    m_layouts.on_frame_received(peer, Layout::kMarked3);
+    m_layouts.on_frame_received(peer, Layout::kUnmarked2);
+    m_layouts.on_frame_received(peer, Layout::kUnmarked1);
     EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3);
 }
 
@@ -75,13 +75,13 @@
          {std::pair(Layout::kUnmarked1, Layout::kMarked3), std::pair(Layout::kMarked3, Layout::kUnmarked1)})
     {
         request_after(1000);
-        m_layouts.note_heard(peer, before);
-        m_layouts.note_closed(peer);
+        m_layouts.on_frame_received(peer, before);
+        m_layouts.on_connection_closed(peer);
         EXPECT_EQ(m_layouts.of(peer), std::nullopt);
         EXPECT_TRUE(request_after(0)) << "at once, on the new connection";
-        m_layouts.note_heard(peer, after);
+        m_layouts.on_frame_received(peer, after);
         EXPECT_EQ(m_layouts.of(peer), after);
-        m_layouts.note_closed(peer);
+        m_layouts.on_connection_closed(peer);
     }
 }
 
@@ -90,28 +90,28 @@
 TEST_F(PeerLayouts, PeerThatLeavesRequestsUnansweredIsAskedAnewAndMayReadLess)
 {
     request_after(0);
-    m_layouts.note_heard(peer, Layout::kMarked3);
+    m_layouts.on_frame_received(peer, Layout::kMarked3);
     EXPECT_FALSE(request_after(1000));
     EXPECT_FALSE(request_after(300));
     EXPECT_TRUE(request_after(100)) << "nothing came back for 400 ms";
     EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3) << "it may only be slow";
-    EXPECT_TRUE(m_layouts.note_heard(peer, Layout::kUnmarked1));
+    EXPECT_TRUE(m_layouts.on_frame_received(peer, Layout::kUnmarked1));
     EXPECT_EQ(m_layouts.of(peer), Layout::kUnmarked1);
 }
 
 TEST_F(PeerLayouts, FramesOfAPeerThatWasAskedNothingTeachNothing)
 {
-    EXPECT_FALSE(m_layouts.note_heard(peer, Layout::kMarked3));
+    EXPECT_FALSE(m_layouts.on_frame_received(peer, Layout::kMarked3));
     EXPECT_EQ(m_layouts.of(peer), std::nullopt);
 }
 
 TEST_F(PeerLayouts, EarlierPeersAreCounted)
 {
     request_after(0);
-    m_layouts.note_heard(peer, Layout::kUnmarked2);
+    m_layouts.on_frame_received(peer, Layout::kUnmarked2);
     wire::Endpoint other{"10.0.0.2", 7380};
-    m_layouts.note_request(m_now, other);
-    m_layouts.note_heard(other, wire::kNewestLayout);
+    m_layouts.on_request(m_now, other);
+    m_layouts.on_frame_received(other, wire::kNewestLayout);
     EXPECT_EQ(m_layouts.earlier_peers(), 1U);
 }
 
