--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -362,7 +362,7 @@
   std::vector<std::vector<wire::Endpoint>> groups;
   for (std::size_t index = 0; index < layout->size(); ++index) {
     const consensus::Configuration& founders = (*layout)[index];
-    std::vector<Machine> ordered = turn_ledger::members_first(machines, founders);
+    std::vector<Machine> ordered = turn_ledger::initial_members_first(machines, founders);
     std::vector<wire::Endpoint>& endpoints = groups.emplace_back();
     for (const Machine& machine : ordered) {
       endpoints.push_back(machine.endpoint);
--- a/src/turn_ledger/groups/group_layout.cc
+++ b/src/turn_ledger/groups/group_layout.cc
@@ -38,7 +38,7 @@
 group_layout layout_groups(const std::vector<Machine>& machines, std::size_t replicas)
 {
     std::vector<Machine> order = interleave_zones(machines);
-    std::size_t groups = order.size() < machines_for_groups ? 1 : order.size();
+    std::size_t groups = order.size() < min_machines_for_groups ? 1 : order.size();
     group_layout layout(groups);
     for (std::size_t group = 0; group < groups; ++group)
     {
@@ -60,16 +60,16 @@
     return GroupId(static_cast<std::uint32_t>(index + 1));
 }
 
-std::vector<Machine> members_first(const std::vector<Machine>& machines,
-                                   const consensus::Configuration& founders)
+std::vector<Machine> initial_members_first(const std::vector<Machine>& machines,
+                                           const consensus::Configuration& initial_members)
 {
     std::vector<Machine> ordered;
-    for (NodeId founder : founders.voters)
+    for (NodeId initial_member : initial_members.voters)
     {
         auto found = std::find_if(machines.begin(), machines.end(),
-                                  [founder](const Machine& machine)
+                                  [initial_member](const Machine& machine)
                                   {
-                                      return machine.identity == founder;
+                                      return machine.identity == initial_member;
                                   });
         if (found != machines.end())
         {
@@ -78,7 +78,7 @@
     }
     for (const Machine& machine : machines)
     {
-        if (!founders.IsVoter(machine.identity))
+        if (!initial_members.IsVoter(machine.identity))
         {
             ordered.push_back(machine);
         }
--- a/src/turn_ledger/groups/group_layout.h
+++ b/src/turn_ledger/groups/group_layout.h
@@ -19,7 +19,7 @@
 using group_layout = std::vector<consensus::Configuration>;
 
 /// a deployment with fewer machines has a single group: its leader isn't full before the others are
-constexpr std::size_t machines_for_groups = 6;
+constexpr std::size_t min_machines_for_groups = 6;
 
 /// @param[in] machines  all storage machines, in an order that everybody agrees on
 /// @param[in] replicas  voters wanted in each group
@@ -35,7 +35,7 @@
 
 /// @return all machines, in the order to ask them in: the group's founders as listed, then the others
 ///         (members may have changed since the group was founded)
-std::vector<Machine> members_first(const std::vector<Machine>& machines,
-                                   const consensus::Configuration& founders);
+std::vector<Machine> initial_members_first(const std::vector<Machine>& machines,
+                                           const consensus::Configuration& initial_members);
 
 }  // namespace martenyard::turn_ledger
--- a/tests/turn_ledger/group_layout_test.cc
+++ b/tests/turn_ledger/group_layout_test.cc
@@ -36,7 +36,7 @@
 
 RC_GTEST_PROP(GroupLayoutPropertyTest, LeadersAndReplicasAreDealtEvenlyAndAcrossZones, ()) {
   auto zones = *rc::gen::inRange<std::size_t>(3, 7);
-  auto count = *rc::gen::inRange<std::size_t>(machines_for_groups, 20);
+  auto count = *rc::gen::inRange<std::size_t>(min_machines_for_groups, 20);
   std::size_t replicas = 2 * *rc::gen::inRange<std::size_t>(1, 3) + 1;
   std::vector<Machine> machines = Machines(count, zones);
   group_layout layout = layout_groups(machines, replicas);
@@ -68,9 +68,9 @@
     EXPECT_GT(count, 60) << group.value;
   }
   std::vector<Machine> machines = Machines(4, 4);
-  consensus::Configuration founders;
-  founders.voters = {NodeId(3), NodeId(9), NodeId(1)};
-  std::vector<Machine> ordered = members_first(machines, founders);
+  consensus::Configuration initial_members;
+  initial_members.voters = {NodeId(3), NodeId(9), NodeId(1)};
+  std::vector<Machine> ordered = initial_members_first(machines, initial_members);
   ASSERT_EQ(ordered.size(), 4U);
   EXPECT_EQ(ordered[0].name, "m2");
   EXPECT_EQ(ordered[1].name, "m0");
