--- a/src/turn_ledger/image/state_image.cc
+++ b/src/turn_ledger/image/state_image.cc
@@ -15,7 +15,7 @@
 constexpr unsigned bits_per_byte = 8;
 /// about what a record's ids and numbers take
 constexpr std::size_t record_bytes = 64;
-constexpr std::size_t turn_mark_bytes = 40;
+constexpr std::size_t account_turn_bytes = 40;
 
 std::string encode_length(std::size_t length)
 {
@@ -27,38 +27,38 @@
     return bytes;
 }
 
-std::size_t decode_length(const std::string& bytes, std::size_t at)
+std::size_t decode_length(const std::string& bytes, std::size_t offset)
 {
     std::size_t length = 0;
     for (std::size_t index = 0; index < length_bytes; ++index)
     {
-        auto byte = static_cast<unsigned char>(bytes[at + index]);
+        auto byte = static_cast<unsigned char>(bytes[offset + index]);
         length |= static_cast<std::size_t>(byte) << (index * bits_per_byte);
     }
     return length;
 }
 
-std::size_t size_of(const account& tokens)
+std::size_t approximate_size(const account& tokens)
 {
-    return record_bytes + turn_mark_bytes * (tokens.m_reserved.size() + tokens.m_settled.size());
+    return record_bytes + account_turn_bytes * (tokens.m_reserved.size() + tokens.m_settled.size());
 }
 
-std::size_t size_of(const kept_turn& /*turn*/)
+std::size_t approximate_size(const kept_turn& /*turn*/)
 {
     return record_bytes;
 }
 
-/// Moves records from `from`, beginning at `done`, until `most_bytes` are used up. What was moved
+/// Moves records from `from`, beginning at `position`, until `max_bytes` are used up. What was moved
 /// needn't stay in memory.
 template <typename Record>
-void move_some(std::vector<Record>& from, std::size_t& done, std::size_t most_bytes, std::size_t& bytes,
-               std::vector<Record>& to)
+void move_records(std::vector<Record>& from, std::size_t& position, std::size_t max_bytes, std::size_t& bytes,
+                  std::vector<Record>& to)
 {
-    while (done < from.size() && bytes < most_bytes)
+    while (position < from.size() && bytes < max_bytes)
     {
-        bytes += size_of(from[done].second);
-        to.push_back(std::move(from[done]));
-        ++done;
+        bytes += approximate_size(from[position].second);
+        to.push_back(std::move(from[position]));
+        ++position;
     }
 }
 
@@ -84,22 +84,23 @@
 {
 }
 
-std::string state_image_encoder::next(std::size_t most_bytes)
+std::string state_image_encoder::next(std::size_t max_bytes)
 {
-    m_begun = true;
+    m_started = true;
     state_image part;
     part.m_now = m_image.m_now;
     part.m_next_expiry = m_image.m_next_expiry;
     std::size_t bytes = 0;
-    move_some(m_image.m_accounts, m_accounts_done, most_bytes, bytes, part.m_accounts);
-    move_some(m_image.m_turns, m_turns_done, most_bytes, bytes, part.m_turns);
+    move_records(m_image.m_accounts, m_accounts_encoded, max_bytes, bytes, part.m_accounts);
+    move_records(m_image.m_turns, m_turns_encoded, max_bytes, bytes, part.m_turns);
     std::string encoded = wire::Encode(part);
     return encode_length(encoded.size()) + encoded;
 }
 
 bool state_image_encoder::done() const
 {
-    return m_begun && m_accounts_done == m_image.m_accounts.size() && m_turns_done == m_image.m_turns.size();
+    return m_started && m_accounts_encoded == m_image.m_accounts.size() &&
+           m_turns_encoded == m_image.m_turns.size();
 }
 
 std::vector<consensus::EntryId> entries_of(const state_image& image)
@@ -117,31 +118,31 @@
 std::optional<state_image> decode_state_image(const std::string& parts)
 {
     state_image image;
-    std::size_t at = 0;
-    while (at < parts.size())
+    std::size_t offset = 0;
+    while (offset < parts.size())
     {
-        if (parts.size() - at < length_bytes)
+        if (parts.size() - offset < length_bytes)
         {
             return std::nullopt;
         }
-        std::size_t length = decode_length(parts, at);
-        at += length_bytes;
-        if (parts.size() - at < length)
+        std::size_t length = decode_length(parts, offset);
+        offset += length_bytes;
+        if (parts.size() - offset < length)
         {
             return std::nullopt;
         }
-        auto part = wire::Decode<state_image>(parts.substr(at, length));
+        auto part = wire::Decode<state_image>(parts.substr(offset, length));
         if (!part)
         {
             return std::nullopt;
         }
-        at += length;
+        offset += length;
         image.m_now = part->m_now;
         image.m_next_expiry = part->m_next_expiry;
         append(image.m_accounts, std::move(part->m_accounts));
         append(image.m_turns, std::move(part->m_turns));
     }
-    return at > 0 ? std::make_optional(std::move(image)) : std::nullopt;
+    return offset > 0 ? std::make_optional(std::move(image)) : std::nullopt;
 }
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/image/state_image.h
+++ b/src/turn_ledger/image/state_image.h
@@ -82,18 +82,18 @@
   public:
     explicit state_image_encoder(state_image image);
 
-    /// @param[in] most_bytes  about how large the part may be; its last record may exceed it
+    /// @param[in] max_bytes  about how large the part may be; its last record may exceed it
     /// @return the next part; all parts joined in order are what @ref decode_state_image reads
-    std::string next(std::size_t most_bytes);
+    std::string next(std::size_t max_bytes);
 
     /// @return whether all parts were taken; an empty image has one part too
     bool done() const;
 
   private:
     state_image m_image;
-    bool m_begun = false;
-    std::size_t m_accounts_done = 0;
-    std::size_t m_turns_done = 0;
+    bool m_started = false;
+    std::size_t m_accounts_encoded = 0;
+    std::size_t m_turns_encoded = 0;
 };
 
 /// @return the entries of the log that the image's turns have their texts in, in rising order
--- a/src/turn_ledger/transfer/snapshot_transfer.cc
+++ b/src/turn_ledger/transfer/snapshot_transfer.cc
@@ -25,7 +25,7 @@
     m_entries.erase(m_entries.begin(), known);
 }
 
-consensus::Outbound snapshot_transfer::next(std::size_t most_bytes, const EntryReader& read_entry)
+consensus::Outbound snapshot_transfer::next(std::size_t max_bytes, const EntryReader& read_entry)
 {
     if (m_sent == m_entries.size())
     {
@@ -34,7 +34,7 @@
     }
     consensus::StagedEntries part;
     std::size_t bytes = 0;
-    while (m_sent < m_entries.size() && bytes < most_bytes)
+    while (m_sent < m_entries.size() && bytes < max_bytes)
     {
         const consensus::EntryId& wanted = m_entries[m_sent];
         consensus::Entry stub{wanted.term, wanted.index, consensus::EntryKind::kNoOp, ""};
--- a/src/turn_ledger/transfer/snapshot_transfer.h
+++ b/src/turn_ledger/transfer/snapshot_transfer.h
@@ -24,10 +24,10 @@
     /// @param[in] match    entries up to here are known to be on the replica's disk
     snapshot_transfer(NodeId to, consensus::SnapshotRequest request, consensus::LogIndex match);
 
-    /// @param[in] most_bytes  about how many bytes of entries the part may have
+    /// @param[in] max_bytes  about how many bytes of entries the part may have
     /// @param[in] read_entry  an entry that expired since the snapshot was taken is sent empty
     /// @return the next part; the last one is the snapshot itself
-    consensus::Outbound next(std::size_t most_bytes, const EntryReader& read_entry);
+    consensus::Outbound next(std::size_t max_bytes, const EntryReader& read_entry);
 
     /// @return whether the snapshot itself was sent
     bool done() const;
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -282,7 +282,7 @@
 }
 
 std::vector<consensus::Outbound> TurnReplica::NextTransferParts(
-    std::size_t most_bytes, const std::function<bool(NodeId)>& ready) {
+    std::size_t max_bytes, const std::function<bool(NodeId)>& ready) {
   std::vector<NodeId> members = raft_.configuration().Members();
   std::erase_if(transfers_, [&](const auto& entry) {
     return std::find(members.begin(), members.end(), entry.first) == members.end();
@@ -291,7 +291,7 @@
   for (auto& [member, transfer] : transfers_) {
     if (ready(member)) {
       parts.push_back(
-          transfer.next(most_bytes, [this](consensus::EntryId entry) { return ReadEntry(entry); }));
+          transfer.next(max_bytes, [this](consensus::EntryId entry) { return ReadEntry(entry); }));
     }
   }
   std::erase_if(transfers_, [](const auto& entry) { return entry.second.done(); });
@@ -391,14 +391,14 @@
       SnapshotInProgress{snapshot_schedule_.Begin(raft_), state_image_encoder(state_.Capture())});
 }
 
-std::optional<SnapshotStep> TurnReplica::NextSnapshotStep(std::size_t most_bytes) {
+std::optional<SnapshotStep> TurnReplica::NextSnapshotStep(std::size_t max_bytes) {
   if (!snapshot_in_progress_ || snapshot_in_progress_->encoder.done()) {
     return std::nullopt;
   }
   SnapshotInProgress& in_progress = *snapshot_in_progress_;
   SnapshotStep step;
   step.first = !std::exchange(in_progress.started, true);
-  step.part = in_progress.encoder.next(most_bytes);
+  step.part = in_progress.encoder.next(max_bytes);
   in_progress.snapshot.data += step.part;
   if (in_progress.encoder.done()) {
     const consensus::Snapshot& whole = in_progress.snapshot;
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -92,7 +92,7 @@
   static std::vector<consensus::LogIndex> EntriesReferencedBy(const consensus::Snapshot& snapshot);
   /// @param ready whether a member's connection takes more now.
   /// @return the next part of every snapshot under way to another member.
-  std::vector<consensus::Outbound> NextTransferParts(std::size_t most_bytes,
+  std::vector<consensus::Outbound> NextTransferParts(std::size_t max_bytes,
                                                      const std::function<bool(NodeId)>& ready);
   /// What the disk was found to keep at the start: what nothing refers to is forgotten.
   void OnStoredEntries(const std::vector<consensus::LogIndex>& kept);
@@ -100,9 +100,9 @@
   std::vector<consensus::LogIndex> TakeUnreferencedEntries();
   /// Applies what `ready` committed, after it was stored. Begins a snapshot when one is due.
   void Apply(const consensus::Ready& ready);
-  /// While a snapshot is under way. @return its next part, of about `most_bytes`. Between the
+  /// While a snapshot is under way. @return its next part, of about `max_bytes`. Between the
   /// steps the replica goes on as ever.
-  std::optional<SnapshotStep> NextSnapshotStep(std::size_t most_bytes);
+  std::optional<SnapshotStep> NextSnapshotStep(std::size_t max_bytes);
   bool IsTakingSnapshot() const { return snapshot_in_progress_.has_value(); }
   /// The last step is stored: the log up to the snapshot is dropped.
   void FinishSnapshot();
--- a/tests/turn_ledger/snapshot_transfer_test.cc
+++ b/tests/turn_ledger/snapshot_transfer_test.cc
@@ -34,11 +34,11 @@
 }
 
 /// All parts; the snapshot must be the last one and the only one.
-std::vector<consensus::StagedEntries> PartsOf(snapshot_transfer& transfer, std::size_t most_bytes,
+std::vector<consensus::StagedEntries> PartsOf(snapshot_transfer& transfer, std::size_t max_bytes,
                                               const EntryReader& read) {
   std::vector<consensus::StagedEntries> parts;
   while (!transfer.done()) {
-    consensus::Outbound part = transfer.next(most_bytes, read);
+    consensus::Outbound part = transfer.next(max_bytes, read);
     EXPECT_EQ(part.to, kMember);
     auto* staged = std::get_if<consensus::StagedEntries>(&part.message);
     EXPECT_EQ(staged == nullptr, transfer.done());
