--- a/src/turn_ledger/transfer/snapshot_transfer.cc
+++ b/src/turn_ledger/transfer/snapshot_transfer.cc
@@ -50,7 +50,7 @@
     return m_done;
 }
 
-std::size_t snapshot_transfer::left() const
+std::size_t snapshot_transfer::remaining_entries() const
 {
     return m_entries.size() - m_sent;
 }
--- a/src/turn_ledger/transfer/snapshot_transfer.h
+++ b/src/turn_ledger/transfer/snapshot_transfer.h
@@ -33,7 +33,7 @@
     bool done() const;
 
     /// @return entries that are still to be sent
-    std::size_t left() const;
+    std::size_t remaining_entries() const;
 
   private:
     NodeId m_to;
