--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -310,7 +310,7 @@
     }
     work_.timed(work_kind::applying,
                 [&replica = replica, &ready = ready] { replica.Apply(ready); });
-    for (turn_ledger::ReplyTo& reply : replica.TakeReplies()) {
+    for (turn_ledger::OutgoingLedgerReply& reply : replica.TakeReplies()) {
       link_.answer(reply.gateway, std::move(reply.reply), reply.layout);
     }
   }
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -431,8 +431,8 @@
   return taken;
 }
 
-std::vector<ReplyTo> TurnReplica::TakeReplies() {
-  std::vector<ReplyTo> taken = std::move(replies_);
+std::vector<OutgoingLedgerReply> TurnReplica::TakeReplies() {
+  std::vector<OutgoingLedgerReply> taken = std::move(replies_);
   replies_.clear();
   return taken;
 }
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -53,7 +53,7 @@
   std::vector<consensus::LogIndex> kept;
 };
 
-struct ReplyTo {
+struct OutgoingLedgerReply {
   wire::Endpoint gateway;
   LedgerReply reply;
   wire::Layout layout = wire::kNewestLayout;
@@ -106,7 +106,7 @@
   bool IsTakingSnapshot() const { return snapshot_in_progress_.has_value(); }
   /// The last step is stored: the log up to the snapshot is dropped.
   void FinishSnapshot();
-  std::vector<ReplyTo> TakeReplies();
+  std::vector<OutgoingLedgerReply> TakeReplies();
 
   /// @return true when this leader knows that `machine` may be taken away.
   bool CanRemoveMachine(const std::string& machine) const;
@@ -184,7 +184,7 @@
   std::vector<std::string> retiring_;
   std::map<consensus::LogIndex, Proposal> proposals_;
   std::set<Requester> in_flight_;  ///< Of `proposals_`.
-  std::vector<ReplyTo> replies_;
+  std::vector<OutgoingLedgerReply> replies_;
   tenancy::rate_limiter quotas_;  ///< Of the tenants hashed to this group, while it leads.
 };
 
--- a/tests/turn_ledger/later_build_test.cc
+++ b/tests/turn_ledger/later_build_test.cc
@@ -38,7 +38,7 @@
   void Pump() {
     while (replica_->HasWork()) {
       replica_->Apply(replica_->TakeReady());
-      for (const ReplyTo& reply : replica_->TakeReplies()) {
+      for (const OutgoingLedgerReply& reply : replica_->TakeReplies()) {
         last_ = reply.reply.status;
       }
     }
--- a/tests/turn_ledger/ledger_cluster_test.cc
+++ b/tests/turn_ledger/ledger_cluster_test.cc
@@ -227,7 +227,7 @@
         }
       }
       replica.Apply(ready);
-      for (ReplyTo& reply : replica.TakeReplies()) {
+      for (OutgoingLedgerReply& reply : replica.TakeReplies()) {
         if (reply.reply.status == ReplyStatus::kDone && !cut_.contains(number)) {
           replies_[reply.reply.request] = reply.reply.result;
         }
--- a/tests/turn_ledger/turn_replica_test.cc
+++ b/tests/turn_ledger/turn_replica_test.cc
@@ -49,7 +49,7 @@
       write.entries = ready.entries_to_store;
       disk_->Write({write});
       replica_->Apply(ready);
-      for (const ReplyTo& reply : replica_->TakeReplies()) {
+      for (const OutgoingLedgerReply& reply : replica_->TakeReplies()) {
         answered_ += reply.reply.status == ReplyStatus::kDone ? 1 : 0;
       }
     }
@@ -153,7 +153,7 @@
 TEST_F(TurnReplicaTest, FullMachineRefusesReservationsAndTakesSettlements) {
   replica_->SetDiskFull(true);
   replica_->OnRequest(now_, kGateway, {1, ReserveTurn{}});
-  std::vector<ReplyTo> replies = replica_->TakeReplies();
+  std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.status, ReplyStatus::kOverloaded);
   Do(2);
@@ -167,7 +167,7 @@
 TEST_F(TurnReplicaTest, ProbeIsAnsweredAtOnceAndLeavesNoEntry) {
   consensus::LogIndex before = replica_->raft().last_index();
   replica_->OnRequest(now_, kGateway, {1, Probe{}});
-  std::vector<ReplyTo> replies = replica_->TakeReplies();
+  std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.status, ReplyStatus::kDone);
   EXPECT_EQ(replica_->raft().last_index(), before);
@@ -177,7 +177,7 @@
   // A disk that stalls: what is proposed is not stored.
   auto ask = [&](std::uint64_t request, const Operation& operation) {
     replica_->OnRequest(now_, kGateway, {request, operation});
-    std::vector<ReplyTo> replies = replica_->TakeReplies();
+    std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
     return replies.empty() ? std::nullopt : std::make_optional(replies.front().reply.status);
   };
   ReserveTurn reserve;
