--- a/src/turn_ledger/chain/chain_messages.h
+++ b/src/turn_ledger/chain/chain_messages.h
@@ -1,7 +1,7 @@
-// How a gateway reads the chain of a kept turn from any replica.
+// Messages by which a gateway reads the chain of a stored turn from any replica.
 //
-// A kept turn never changes, so a replica that has it may tell it, however far behind it is; one that
-// doesn't have it knows nothing. That there is no such turn is only said by the leader, through the log.
+// A stored turn is immutable, so any replica that has it can serve it, however far behind it is. A replica
+// that lacks the turn can't tell whether it exists; only the leader can, through the log.
 #pragma once
 
 #include <cstdint>
@@ -13,14 +13,14 @@
 namespace martenyard::turn_ledger
 {
 
-/// @brief asks a replica for the text of a turn's chain
+/// @brief requests the text of a turn's chain from a replica
 struct chain_request
 {
     /// unique per gateway process
     std::uint64_t m_request = 0;
     GroupId m_group{1};
     TurnId m_turn;
-    /// a turn whose chain the requester holds; where it is an ancestor, only what follows it is sent
+    /// a turn whose chain the requester has; if it is an ancestor, only the text after it is sent
     std::optional<TurnId> m_known;
 
     template <class Archive>
@@ -30,17 +30,17 @@
     }
 };
 
-/// @brief what a replica knows of the chain
+/// @brief a replica's reply to a chain request
 struct chain_reply
 {
     std::uint64_t m_request = 0;
-    /// false on machines that are no replica at present
+    /// false if the machine is not a replica of the group
     bool m_is_replica = false;
-    /// false when this replica doesn't have the turn (yet)
+    /// false if this replica doesn't have the turn (yet)
     bool m_found = false;
-    /// the text begins after the chain that the requester holds
+    /// the text starts after the chain that the requester has
     bool m_after_known = false;
-    /// inputs and outputs, the oldest first
+    /// inputs and outputs, oldest first
     std::string m_text;
 
     template <class Archive>
--- a/src/turn_ledger/chain/chain_reader.h
+++ b/src/turn_ledger/chain/chain_reader.h
@@ -1,7 +1,6 @@
-// Reads chains of kept turns from the replicas, the near ones first.
+// Reads chains of stored turns from replicas, preferably in the gateway's zone.
 //
-// The leader already orders every reservation; were it to send every chain as well, its link would be
-// full long before its disk or processor is.
+// Reading from any replica keeps the leader's network link, which would saturate first, free of chains.
 #pragma once
 
 #include <algorithm>
@@ -24,27 +23,27 @@
 namespace martenyard::turn_ledger
 {
 
-/// @brief something that takes a request to a replica; it may be lost on the way
+/// @brief sends a request to a replica, without guaranteed delivery
 template <typename Send>
 concept chain_sender = std::invocable<Send&, const wire::Endpoint&, const chain_request&>;
 
-/// @brief how patient a reader is
+/// @brief timeouts and limits of a chain reader
 struct chain_reader_options
 {
-    /// then another replica is asked
+    /// time after which another replica is tried
     std::chrono::milliseconds m_try_timeout{120};
-    /// replicas asked at most for one chain
+    /// maximum number of replicas tried for one chain
     std::size_t m_max_tries = 3;
-    /// for how long a machine that was silent, or is no replica, is asked last
+    /// how long a machine that did not reply, or is not a replica, is tried last
     std::chrono::milliseconds m_avoid_duration{3000};
 };
 
-/// @brief asks replicas for chains; on the loop's thread only
+/// @brief reads chains from replicas; not thread-safe: for the event loop's thread only
 template <chain_sender Send>
 class basic_chain_reader
 {
   public:
-    /// @param[in] zone  replicas of this zone are asked first
+    /// @param[in] zone  replicas of this zone are tried first
     basic_chain_reader(async_http::asio::io_context& context, Send send, ZoneName zone,
                        std::uint64_t first_request, const chain_reader_options& options = {})
         : m_context(context),
@@ -55,9 +54,9 @@
     {
     }
 
-    /// @brief replaces what is known of a group
-    /// @param[in] machines   all that may have a replica, the likely ones first
-    /// @param[in] likely_count     how many of them are
+    /// @brief sets the machines of a group
+    /// @param[in] machines      all that may have a replica, the likely ones first
+    /// @param[in] likely_count  number of likely ones at the front
     void set_machines(GroupId group, std::vector<Machine> machines, std::size_t likely_count)
     {
         auto last_likely =
@@ -71,8 +70,8 @@
     }
 
     /// @param[in] known  see @ref chain_request
-    /// @return the first reply that has the turn, or nothing when the replicas asked did not know it or
-    ///         did not answer: then only the leader can tell
+    /// @return the first reply that has the turn, or nothing if no tried replica has it or replies: then only
+    ///         the leader can tell whether it exists
     async_http::Task<std::optional<chain_reply>> read(GroupId group, TurnId turn, std::optional<TurnId> known)
     {
         std::vector<wire::Endpoint> targets = choose_targets(group);
@@ -95,7 +94,7 @@
         co_return std::nullopt;
     }
 
-    /// @brief a replica answered
+    /// @brief handles a replica's reply
     void on_reply(chain_reply reply)
     {
         auto found = m_pending.find(reply.m_request);
@@ -142,7 +141,7 @@
     std::map<std::uint64_t, pending_read*> m_pending;
 };
 
-/// @brief the reader that gateways use
+/// @brief the chain reader of gateways
 using chain_reader = basic_chain_reader<std::function<void(const wire::Endpoint&, const chain_request&)>>;
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/frames/frame_codec.cc
+++ b/src/turn_ledger/frames/frame_codec.cc
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// Layouts without a mark, the newest first: fewer and fewer processes write the earlier ones.
+/// Layouts without a mark, newest first.
 constexpr Layout unmarked_layouts[] = {Layout::kUnmarked2, Layout::kUnmarked1};
 
 constexpr Layout first_marked = Layout::kMarked3;
@@ -21,7 +21,7 @@
 decoded_frame unreadable(const wire::FrameMark& mark, absl::string_view message)
 {
     unreadable_frame unreadable_message{mark.layout, mark.newest, {}};
-    // Every message begins with its sender, whose members have never changed.
+    // Every message begins with its sender, in the same format in all layouts.
     if (auto from = wire::DecodeBeginning<Machine>(message))
     {
         unreadable_message.m_from = from->name;
@@ -52,8 +52,8 @@
 
 decoded_frame decode_unmarked(const std::string& payload)
 {
-    // No bytes are a message of both layouts: the later one adds bytes to the same beginning, and a reader
-    // takes nothing but exactly one message.
+    // No payload is valid in both layouts: the later one appends bytes, and decoding fails unless it consumes
+    // the payload exactly.
     for (Layout layout : unmarked_layouts)
     {
         if (auto envelope = wire::Decode<Envelope>(payload, layout))
@@ -66,7 +66,7 @@
     return unreadable({}, payload);
 }
 
-bool knows_operation(const Body& body, Layout layout)
+bool supports_operation(const Body& body, Layout layout)
 {
     const auto* request = std::get_if<LedgerRequest>(&body);
     bool quota = request != nullptr && std::holds_alternative<TakeQuota>(request->operation);
@@ -92,7 +92,7 @@
 
 std::optional<std::string> encode_frame(const Envelope& envelope, Layout layout)
 {
-    if (!knows_operation(envelope.body, layout))
+    if (!supports_operation(envelope.body, layout))
     {
         return std::nullopt;
     }
--- a/src/turn_ledger/frames/peer_layouts.cc
+++ b/src/turn_ledger/frames/peer_layouts.cc
@@ -40,12 +40,12 @@
     auto found = m_peers.find(endpoint);
     if (found == m_peers.end())
     {
-        return false;  // Nothing was asked of it on this connection.
+        return false;  // No request was sent to it on this connection.
     }
     peer& state = found->second;
     state.m_unanswered_since.reset();
     state.m_ask_interval = m_options.m_initial_ask_interval;
-    // A process that reads several layouts answers each question in its own.
+    // A process that reads several layouts replies in the layout of each request.
     bool is_update = reads && (!state.m_reads || state.m_stale || *reads > *state.m_reads);
     if (!is_update)
     {
--- a/src/turn_ledger/frames/peer_layouts.h
+++ b/src/turn_ledger/frames/peer_layouts.h
@@ -1,8 +1,8 @@
-// What is known of the layouts that peers read. Decision code: no I/O, no clock.
+// Tracks the newest layout that each peer reads. Decision logic: no I/O, no clock.
 //
-// A peer's layout is learned from what it sends, for as long as the connection to it lasts: its process
-// can't change without breaking that. A peer that leaves requests unanswered is asked anew all the same,
-// since what its former process sent may be read after the connection broke.
+// A peer's layout is learned from its frames and is valid while the connection lasts, since its process can't
+// be replaced without closing it. A peer that does not reply to requests is asked again nevertheless: frames
+// of its previous process may be processed after the connection was closed.
 #pragma once
 
 #include <chrono>
@@ -16,15 +16,14 @@
 namespace martenyard::turn_ledger
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct peer_layouts_options
 {
-    /// a peer that didn't say what it is gets the next question after this time, and each further one after
-    /// twice the time: a lost try of a ledger call is given up as soon
+    /// time until a peer that has not reported its layout is asked again; doubled with each question
     std::chrono::milliseconds m_initial_ask_interval{200};
-    /// so that a machine that stands still isn't met by the questions of a whole fleet when it goes on
+    /// maximum of that time; limits the questions of all peers that pile up at a paused machine
     std::chrono::milliseconds m_max_ask_interval{3200};
-    /// a request without any frame back for this long makes what is known doubtful: two tries of a call
+    /// a request without any frame in reply for this long makes the known layout stale
     std::chrono::milliseconds m_unanswered_limit{400};
 };
 
@@ -35,34 +34,34 @@
 
     explicit peer_layouts(const peer_layouts_options& options = {});
 
-    /// @return the layout to write to the peer in, if that is known
+    /// @return the layout to use for the peer, if it is known
     std::optional<wire::Layout> of(const wire::Endpoint& peer) const;
 
     /// @brief a request is about to be sent to the peer
-    /// @return whether to ask it first what it reads
+    /// @return whether to ask it for its layout first
     bool on_request(instant now, const wire::Endpoint& peer);
 
-    /// @brief a frame of the peer came
+    /// @brief a frame of the peer was received
     /// @param[in] reads  the newest layout that it reads, if the frame tells
-    /// @return whether that changed what is known
+    /// @return whether the known layout changed
     bool on_frame_received(const wire::Endpoint& peer, std::optional<wire::Layout> reads);
 
-    /// @brief the connection to the peer is gone, and maybe its process
+    /// @brief the connection to the peer was closed, possibly because its process ended
     void on_connection_closed(const wire::Endpoint& peer);
 
-    /// @return peers that are known to read less than this build writes
+    /// @return the number of peers known to read only layouts older than this build's newest
     std::size_t earlier_peers() const;
 
   private:
     struct peer
     {
         std::optional<wire::Layout> m_reads;
-        /// what comes next replaces what is known, be it less
+        /// the next report replaces the known layout, even with an older one
         bool m_stale = false;
         std::optional<instant> m_last_asked;
-        /// to the next question
+        /// time until the next question
         std::chrono::milliseconds m_ask_interval{0};
-        /// when the first of the requests was sent that nothing came back after
+        /// when the first request without any frame in reply was sent
         std::optional<instant> m_unanswered_since;
     };
 
--- a/src/turn_ledger/groups/group_layout.h
+++ b/src/turn_ledger/groups/group_layout.h
@@ -1,9 +1,9 @@
-// How the turn ledger is split into replica groups: which machines replicate each, and which group has
-// which programs. Pure functions: all machines and gateways compute the same.
+// Assignment of machines and programs to the turn ledger's replica groups. Pure functions: all machines and
+// gateways compute the same result.
 //
-// One group's leader orders every command of its programs and sends each to its followers, so it is
-// full long before the machines together are. With many machines the programs are hashed to as many
-// groups, each led by another machine.
+// A group's leader orders all commands of its programs and replicates them, so it saturates long before the
+// other machines do. With enough machines there are as many groups as machines, each led by a different one,
+// and programs are hashed to groups.
 #pragma once
 
 #include <cstddef>
@@ -15,26 +15,26 @@
 namespace martenyard::turn_ledger
 {
 
-/// the founders of each group, written once; the first voter is the one that should lead
+/// the initial members of each group, written once; the first voter is the preferred leader
 using group_layout = std::vector<consensus::Configuration>;
 
-/// a deployment with fewer machines has a single group: its leader isn't full before the others are
+/// deployments with fewer machines have a single group
 constexpr std::size_t min_machines_for_groups = 6;
 
-/// @param[in] machines  all storage machines, in an order that everybody agrees on
-/// @param[in] replicas  voters wanted in each group
-/// @return the groups to found; a group's neighbours in the list lie in different zones if they can
+/// @param[in] machines  all storage machines, in the same order for all callers
+/// @param[in] replicas  number of voters in each group
+/// @return the groups to create; the voters of a group are in different zones if possible
 group_layout layout_groups(const std::vector<Machine>& machines, std::size_t replicas);
 
-/// @return the group that has the program's tokens and turns
+/// @return the group that stores the program's account and turns
 /// @pre groups > 0
 GroupId group_of(const ProgramId& program, std::size_t groups);
 
-/// @return the group's id; the layout's first entry is group 1
+/// @return the id of the group at this index of the layout; ids start at 1
 GroupId group_at(std::size_t index);
 
-/// @return all machines, in the order to ask them in: the group's founders as listed, then the others
-///         (members may have changed since the group was founded)
+/// @return all machines, in the order in which to try them: the group's initial members as listed, then the
+///         others (the membership may have changed)
 std::vector<Machine> initial_members_first(const std::vector<Machine>& machines,
                                            const consensus::Configuration& initial_members);
 
--- a/src/turn_ledger/image/state_image.cc
+++ b/src/turn_ledger/image/state_image.cc
@@ -10,10 +10,10 @@
 namespace
 {
 
-/// a part's length stands in front of it, in this many bytes, the lowest first
+/// size of the little-endian length prefix of a part
 constexpr std::size_t length_bytes = 8;
 constexpr unsigned bits_per_byte = 8;
-/// about what a record's ids and numbers take
+/// approximate size of a record's fixed members
 constexpr std::size_t record_bytes = 64;
 constexpr std::size_t account_turn_bytes = 40;
 
@@ -48,8 +48,8 @@
     return record_bytes;
 }
 
-/// Moves records from `from`, beginning at `position`, until `max_bytes` are used up. What was moved
-/// needn't stay in memory.
+/// Moves records from `from`, starting at `position`, until `max_bytes` are used. Moving frees the memory of
+/// encoded records.
 template <typename Record>
 void move_records(std::vector<Record>& from, std::size_t& position, std::size_t max_bytes, std::size_t& bytes,
                   std::vector<Record>& to)
--- a/src/turn_ledger/image/state_image.h
+++ b/src/turn_ledger/image/state_image.h
@@ -1,8 +1,8 @@
-// The turn ledger's data as a snapshot holds it, encoded piece by piece.
+// The state of the turn ledger as stored in a snapshot, encoded in parts.
 //
-// A replica must go on answering while it takes a snapshot: a leader that encodes its whole state at
-// one go misses its heartbeats, and since all replicas have the same log, all of them do so at once.
-// So the state is captured in one step (texts are shared, not copied) and encoded in small parts.
+// Encoding the whole state at once would make a leader miss its heartbeats, and all replicas reach the same
+// log index at about the same time. So the state is captured in one step and encoded in small parts, between
+// which the replica serves requests.
 #pragma once
 
 #include <cstddef>
@@ -19,16 +19,16 @@
 namespace martenyard::turn_ledger
 {
 
-/// @brief a program's tokens
+/// @brief token account of a program
 struct account
 {
     std::uint64_t m_spent = 0;
     std::map<TurnId, std::uint64_t> m_reserved;
-    /// turns that must not be reserved (again)
+    /// settled turns, which must not be reserved (again)
     std::map<TurnId, bool> m_settled;
     LedgerMillis m_expires = 0;
 
-    /// @return what is reserved and not settled yet, over all turns
+    /// @return the sum of reserved tokens that are not settled yet
     std::uint64_t reserved_tokens() const;
 
     template <class Archive>
@@ -38,15 +38,15 @@
     }
 };
 
-/// @brief a turn that later turns may go on from
+/// @brief a stored turn that later turns may continue
 ///
-/// What it added to its chain stays where the log has it, on the disk: its entry's place stands for it.
+/// The texts stay in the log entry that settled the turn; only the entry's id is part of the state.
 struct kept_turn
 {
     std::optional<TurnId> m_previous;
-    /// the log's entry that settled the turn and brought its texts
+    /// the log entry that settled the turn and contains its texts
     consensus::EntryId m_entry;
-    /// of its texts
+    /// size of the texts
     std::uint32_t m_bytes = 0;
     TurnPlace m_place;
     LedgerMillis m_expires = 0;
@@ -58,13 +58,13 @@
     }
 };
 
-/// @brief the whole state at one point of the log
+/// @brief the complete state at one log index
 ///
-/// Sorted by id: equal states have equal images.
+/// Sorted by id, so that equal states have equal images.
 struct state_image
 {
     LedgerMillis m_now = 0;
-    /// part of the state: all replicas must expire at the same command
+    /// part of the state, since all replicas must expire records at the same command
     LedgerMillis m_next_expiry = 0;
     std::vector<std::pair<ProgramId, account>> m_accounts;
     std::vector<std::pair<TurnId, kept_turn>> m_turns;
@@ -82,11 +82,11 @@
   public:
     explicit state_image_encoder(state_image image);
 
-    /// @param[in] max_bytes  about how large the part may be; its last record may exceed it
-    /// @return the next part; all parts joined in order are what @ref decode_state_image reads
+    /// @param[in] max_bytes  approximate size of the part; its last record may exceed it
+    /// @return the next part; @ref decode_state_image reads the concatenated parts
     std::string next(std::size_t max_bytes);
 
-    /// @return whether all parts were taken; an empty image has one part too
+    /// @return whether all parts were returned; an empty image has one part
     bool done() const;
 
   private:
@@ -96,10 +96,10 @@
     std::size_t m_turns_encoded = 0;
 };
 
-/// @return the entries of the log that the image's turns have their texts in, in rising order
+/// @return the log entries that contain the texts of the image's turns, in ascending order
 std::vector<consensus::EntryId> entries_of(const state_image& image);
 
-/// @return the image that the joined parts hold, or nothing when they are no image
+/// @return the image, or nothing if the concatenated parts can't be decoded
 std::optional<state_image> decode_state_image(const std::string& parts);
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/ledger_client.cc
+++ b/src/turn_ledger/ledger_client.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-/// Replicas that point at each other while they have no leader are not asked without end.
+/// Limit of leader hints followed without a delay: replicas may point at each other while there is
+/// no leader.
 constexpr std::size_t kMaxHints = 3;
 
 }  // namespace
@@ -51,7 +52,7 @@
 }
 
 wire::Endpoint LedgerClient::NextMachine(Group& group) const {
-  // A try that goes to a dead machine is lost, and costs its whole time.
+  // A try sent to a dead machine costs its whole timeout.
   for (std::size_t passed = 0; passed < group.machines.size(); ++passed) {
     const wire::Endpoint& machine = group.machines[group.next++ % group.machines.size()];
     if (!RefusedRecently(machine)) {
@@ -132,7 +133,7 @@
   bool limited = !std::holds_alternative<SettleTurn>(operation) &&
                  !std::holds_alternative<Probe>(operation) &&
                  !std::holds_alternative<TakeQuota>(operation);
-  // Named, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
+  // A named variable, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
   LedgerRequest request;
   request.request = ++last_request_;
   request.operation = std::move(operation);
@@ -150,7 +151,7 @@
     co_return refused;
   }
   if (group->waiting_reservations == 0) {
-    group->last_progress = SteadyNow();  // A quiet time is no silence.
+    group->last_progress = SteadyNow();  // Time without reservations does not count.
   }
   ++group->waiting_reservations;
   CallResult result = co_await RunCall(std::move(request), deadline, relaying);
@@ -172,8 +173,8 @@
   CallResult result;
   absl::Duration try_timeout = options_.try_timeout;
   std::size_t replies_without_leader = 0;  // Replies without a leader's address.
-  std::size_t hints = 0;                   // Replies with one, since the last pause.
-  std::size_t unsupported = 0;             // Machines that don't know the operation.
+  std::size_t hints = 0;                   // Replies with one, since the last delay.
+  std::size_t unsupported = 0;             // Machines that don't support the operation.
   bool first = true;
   bool may_be_committed = false;
   while (SteadyNow() < deadline) {
@@ -196,7 +197,7 @@
       co_await call.wakeup.Wait(std::min(try_timeout, deadline - SteadyNow()));
     }
     if (std::exchange(call.unsupported, false)) {
-      // Another machine may lead, and know the operation.
+      // Another machine may lead and support the operation.
       group = Find(group_id);
       bool last =
           group == nullptr || group->leader == target || ++unsupported >= group->machines.size();
@@ -263,16 +264,16 @@
 }
 
 std::size_t LedgerClient::ProbedGroupIndex(std::size_t ordinal) const {
-  // Neighbouring groups share machines: the probed ones lie apart.
+  // Neighboring groups share machines, so the probed groups are spaced apart.
   std::size_t stride = groups_.size() / probed_groups();
   return (probe_offset_ + ordinal * stride) % groups_.size();
 }
 
-void LedgerClient::ProbeIdleGroups(absl::Duration quiet) {
+void LedgerClient::ProbeIdleGroups(absl::Duration idle_time) {
   for (std::size_t ordinal = 0; ordinal < probed_groups(); ++ordinal) {
     std::size_t index = ProbedGroupIndex(ordinal);
     Group& group = groups_[index];
-    if (!group.probing && group.last_answer + quiet < SteadyNow()) {
+    if (!group.probing && group.last_answer + idle_time < SteadyNow()) {
       group.probing = true;
       async_http::asio::co_spawn(context_, ProbeGroup(group_at(index)), async_http::asio::detached);
     }
@@ -280,7 +281,7 @@
 }
 
 Task<void> LedgerClient::ProbeGroup(GroupId group_id) {
-  // Named, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
+  // A named variable, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
   Operation probe = Probe{};
   co_await Call(group_id, std::move(probe), SteadyNow() + options_.probe_timeout,
                 Relaying::kDirectOnly);
@@ -290,18 +291,18 @@
 }
 
 std::size_t LedgerClient::UnresponsiveGroups(absl::Duration limit) const {
-  std::size_t silent = 0;
+  std::size_t unresponsive = 0;
   for (std::size_t ordinal = 0; ordinal < probed_groups(); ++ordinal) {
-    silent += IsUnresponsive(groups_[ProbedGroupIndex(ordinal)], limit) ? 1 : 0;
+    unresponsive += IsUnresponsive(groups_[ProbedGroupIndex(ordinal)], limit) ? 1 : 0;
   }
-  return silent;
+  return unresponsive;
 }
 
 void LedgerClient::OnReply(const wire::Endpoint& from, const LedgerReply& reply) {
   refused_.erase(from);
   auto found = pending_calls_.find(reply.request);
   if (found == pending_calls_.end() || found->second->attempts.empty()) {
-    return;  // Its call has ended: a late answer to a call that another try has answered.
+    return;  // The call has completed: this is a late reply to another try.
   }
   PendingCall& call = *found->second;
   auto answered_attempt =
@@ -310,7 +311,7 @@
   bool current =
       answered_attempt == call.attempts.rbegin() || answered_attempt == call.attempts.rend();
   if (!current && reply.status != ReplyStatus::kDone) {
-    return;  // A try that counts as lost already: what it says is nothing of the present one.
+    return;  // A refusal of an abandoned try says nothing about the current one.
   }
   call.reply = reply;
   call.answered_attempt = current ? call.attempts.back() : *answered_attempt;
--- a/src/turn_ledger/membership_planner.cc
+++ b/src/turn_ledger/membership_planner.cc
@@ -20,7 +20,7 @@
   return nullptr;
 }
 
-/// A voter that nobody needs to replace.
+/// Whether the voter does not need to be replaced.
 bool IsHealthy(const GroupView& view, NodeId voter, const PlannerOptions& options) {
   if (voter == view.leader) {
     const MachineView* self = Find(view, voter);
@@ -34,8 +34,8 @@
          (machine->present ? options.replace_after : options.forget_after);
 }
 
-/// A sound voter that has answered this very leader. One that it has not heard of yet may be the
-/// identity of a disk that is gone: it gets time, but no voter is removed on its account.
+/// Whether the voter is healthy and has replied to the current leader. One that has not may be the
+/// identity of a lost disk: it is not replaced yet, but no other voter is removed in its favor.
 bool IsConfirmed(const GroupView& view, NodeId voter, const PlannerOptions& options) {
   const MachineView* machine = Find(view, voter);
   bool answered = voter == view.leader || (machine != nullptr && machine->match > 0);
@@ -69,7 +69,7 @@
   return zones;
 }
 
-/// @return the machine to add next: one in a zone without a replica first.
+/// @return the machine to add next, preferably in a zone without a healthy voter.
 const MachineView* BestSpare(const GroupView& view, const PlannerOptions& options) {
   std::set<ZoneName> covered = HealthyZones(view, options);
   const MachineView* best = nullptr;
@@ -92,7 +92,7 @@
   list.erase(std::remove(list.begin(), list.end(), item), list.end());
 }
 
-/// Learners whose machine is gone, or that are no longer needed.
+/// Removes a learner whose machine is unavailable, or that is no longer needed.
 std::optional<Configuration> DropLearner(const GroupView& view, const PlannerOptions& options) {
   bool has_enough_voters = CountConfirmedVoters(view, options) >= options.replicas;
   for (NodeId learner : view.configuration.learners) {
@@ -130,7 +130,7 @@
   }
   bool has_unconfirmed = CountHealthyVoters(view, options) > CountConfirmedVoters(view, options);
   if (has_unconfirmed && CountHealthyVoters(view, options) == voters) {
-    return std::nullopt;  // One that has not answered yet may be the one to go.
+    return std::nullopt;  // A voter that has not replied yet may be the one to remove.
   }
   NodeId to_remove = kNoNode;
   for (NodeId voter : view.configuration.voters) {
@@ -167,7 +167,7 @@
     return next;
   }
   if (!view.configuration.learners.empty()) {
-    return std::nullopt;  // It still catches up.
+    return std::nullopt;  // The learner is still catching up.
   }
   if (const MachineView* spare = BestSpare(view, options)) {
     Configuration next = view.configuration;
--- a/src/turn_ledger/membership_planner.h
+++ b/src/turn_ledger/membership_planner.h
@@ -1,8 +1,9 @@
-// Decides who should replicate the turn ledger: pure functions over what the leader sees.
+// Plans membership changes of the turn ledger's groups: pure functions of the leader's view.
 //
-// Replicas are storage machines. One that lost its disk comes back under another identity and must
-// take its old vote's place by way of a learner; one that is gone or to be emptied is replaced by a
-// spare. Every step changes one voter at most and keeps every committed entry on a quorum.
+// Replicas run on storage machines. A machine that lost its disk returns with a new identity, joins
+// as a learner and then replaces its former identity as a voter. A machine that is unreachable or
+// retiring is replaced by a spare. Each step changes at most one voter and keeps every committed
+// entry on a quorum.
 #pragma once
 
 #include <cstddef>
@@ -17,43 +18,47 @@
 
 namespace martenyard::turn_ledger {
 
-/// A storage machine as the leader sees it.
+/// The leader's view of a storage machine.
 struct MachineView {
   std::string name;
   NodeId identity;
   ZoneName zone;
-  bool retiring = false;              ///< The operator wants it emptied.
-  bool present = true;                ///< Some machine is known to have this identity now.
-  absl::Duration time_since_contact;  ///< Since anything was heard of this identity.
-  consensus::LogIndex match = 0;      ///< How far it is known to have the log.
+  bool retiring = false;              ///< The operator is retiring it.
+  bool present = true;                ///< A known machine currently has this identity.
+  absl::Duration time_since_contact;  ///< Time since this identity was last known to be alive.
+  consensus::LogIndex match = 0;      ///< Highest log index known to be replicated to it.
 };
 
 struct PlannerOptions {
-  std::size_t replicas = 3;                           ///< Voters aimed at: 2 x tolerated + 1.
-  absl::Duration replace_after = absl::Seconds(1.5);  ///< Silence after which a spare steps in.
-  /// The same for an identity that no known machine has: its disk is gone, or it is about to speak.
+  std::size_t replicas = 3;  ///< Target number of voters: 2 x tolerated failures + 1.
+  /// Time without contact after which a spare replaces a machine.
+  absl::Duration replace_after = absl::Seconds(1.5);
+  /// The same for an identity that no known machine has: its disk was lost, or it has not reported
+  /// yet.
   absl::Duration forget_after = absl::Milliseconds(300);
-  absl::Duration live_within = absl::Milliseconds(800);  ///< Heard of within this: fit to be added.
-  consensus::LogIndex learner_lag = 64;                  ///< A learner this close behind may vote.
-  std::uint64_t group = 0;  ///< Different groups prefer different spares.
+  /// Maximum time without contact for a machine to be added.
+  absl::Duration live_within = absl::Milliseconds(800);
+  /// Maximum lag, in entries, of a learner that becomes a voter.
+  consensus::LogIndex learner_lag = 64;
+  std::uint64_t group = 0;  ///< Makes different groups prefer different spares.
 };
 
 struct GroupView {
-  NodeId leader;  ///< Who plans; stays a voter until last.
+  NodeId leader;  ///< The replica that plans; removed last.
   consensus::Configuration configuration;
   consensus::LogIndex commit = 0;
-  std::vector<MachineView> machines;  ///< Present identities only.
+  std::vector<MachineView> machines;  ///< Known machines, and members without a known machine.
 };
 
-/// @return the next configuration to propose, or nothing when all is as it should be or waits.
+/// @return the next configuration to propose, or nothing if no change is needed or possible yet.
 std::optional<consensus::Configuration> PlanMembership(const GroupView& view,
                                                        const PlannerOptions& options);
 
-/// @return the voter that should lead: the first that is sound, in the configuration's order.
+/// @return the voter that should lead: the first healthy one in the configuration's order.
 NodeId PreferredLeader(const GroupView& view, const PlannerOptions& options);
 
-/// @return true when `machine` holds no replica and the others hold as many as were aimed at, so
-/// that taking it away loses nothing.
+/// @return true if `machine` holds no replica and the other machines hold the target number, so
+/// that removing it loses no data.
 bool CanRemoveMachine(const GroupView& view, const std::string& machine,
                       const PlannerOptions& options);
 
--- a/src/turn_ledger/messages.h
+++ b/src/turn_ledger/messages.h
@@ -16,7 +16,7 @@
 
 namespace martenyard::turn_ledger {
 
-/// A storage machine as its peers see it. `identity` changes when its disk was lost.
+/// A storage machine. `identity` changes when its disk is lost.
 struct Machine {
   std::string name;
   NodeId identity;
@@ -30,18 +30,18 @@
   }
 };
 
-/// Sent by a storage machine that is up, and in answer to a message for a former identity.
+/// Sent by a running storage machine, and in reply to a message addressed to a former identity.
 struct Hello {
-  std::vector<Machine> known;  ///< Other machines the sender has heard of.
+  std::vector<Machine> known;  ///< Other machines that the sender knows.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(known);
   }
 };
 
-/// A replica's message of the replicated log.
+/// A Raft message between replicas of a group.
 struct LogMessage {
-  NodeId to;  ///< The identity meant: the address may have another by now.
+  NodeId to;  ///< The intended recipient: the machine at the address may have a new identity.
   GroupId group;
   consensus::RaftMessage message;
   template <class Archive>
@@ -50,12 +50,12 @@
   }
 };
 
-/// A gateway's request.
+/// A gateway's request to a group.
 struct LedgerRequest {
   std::uint64_t request = 0;  ///< Unique per gateway process.
   Operation operation;
   GroupId group{1};
-  /// A reservation is refused if nothing is known of its program: it would begin a new one.
+  /// Refuse a reservation whose program has no account, instead of creating the account.
   bool known_programs_only = false;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -67,9 +67,9 @@
 };
 
 enum class ReplyStatus : std::uint8_t {
-  kDone,       ///< Committed: `result` holds.
-  kNotLeader,  ///< Ask `leader`, if it is known.
-  kUncertain,  ///< Leadership was lost meanwhile; it may or may not be committed. Ask again.
+  kDone,       ///< Committed: `result` is valid.
+  kNotLeader,  ///< Retry at `leader`, if it is known.
+  kUncertain,  ///< Leadership was lost meanwhile; the operation may or may not be committed. Retry.
   kOverloaded,
 };
 
@@ -77,7 +77,7 @@
   std::uint64_t request = 0;
   ReplyStatus status = ReplyStatus::kDone;
   OperationResult result;
-  wire::Endpoint leader;  ///< Port 0 when unknown.
+  wire::Endpoint leader;  ///< Port 0 if unknown.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(request, status, result, leader);
@@ -87,7 +87,7 @@
 using Body = std::variant<Hello, LogMessage, LedgerRequest, LedgerReply, chain_request, chain_reply,
                           store::news_reply>;
 
-/// What travels in one frame.
+/// The content of one frame.
 struct Envelope {
   Machine from;  ///< Gateways have no identity; replies go to `from.endpoint`.
   Body body;
--- a/src/turn_ledger/transfer/snapshot_transfer.h
+++ b/src/turn_ledger/transfer/snapshot_transfer.h
@@ -1,9 +1,8 @@
-// A snapshot on its way to a replica that the log can't serve any more.
+// Transfer of a snapshot to a replica that is too far behind to be caught up from the log.
 //
-// A snapshot only names the entries that its turns have their texts in. Those go ahead of it, in small
-// parts that are sent one after the other: a machine whose disk is empty gets all of them, one that was
-// away for a moment those that it missed. The snapshot itself goes last, and is taken only by a replica
-// that has every entry it names, so a transfer that broke off at either end has done no harm.
+// A snapshot only references the log entries that contain the texts of its turns. The entries that the
+// replica lacks are sent first, in small parts. The snapshot itself is sent last and is accepted only by a
+// replica that has every referenced entry, so an interrupted transfer is harmless.
 #pragma once
 
 #include <cstddef>
@@ -15,24 +14,24 @@
 namespace martenyard::turn_ledger
 {
 
-/// @brief the parts of one snapshot for one replica
+/// @brief the transfer of one snapshot to one replica
 class snapshot_transfer
 {
   public:
-    /// @param[in] to       the replica
-    /// @param[in] request  the snapshot as the replicated log wants it sent
-    /// @param[in] match    entries up to here are known to be on the replica's disk
+    /// @param[in] to       the receiving replica
+    /// @param[in] request  the message of the replicated log that contains the snapshot
+    /// @param[in] match    index up to which entries are known to be on the replica's disk
     snapshot_transfer(NodeId to, consensus::SnapshotRequest request, consensus::LogIndex match);
 
-    /// @param[in] max_bytes  about how many bytes of entries the part may have
-    /// @param[in] read_entry  an entry that expired since the snapshot was taken is sent empty
+    /// @param[in] max_bytes  approximate size of the part's entries
+    /// @param[in] read_entry  reads an entry; one that expired since the snapshot was taken is sent empty
     /// @return the next part; the last one is the snapshot itself
     consensus::Outbound next(std::size_t max_bytes, const EntryReader& read_entry);
 
     /// @return whether the snapshot itself was sent
     bool done() const;
 
-    /// @return entries that are still to be sent
+    /// @return the number of entries still to be sent
     std::size_t remaining_entries() const;
 
   private:
@@ -43,7 +42,7 @@
     bool m_done = false;
 };
 
-/// @return the entries that a snapshot's state refers to, in rising order; none when it is no state
+/// @return the entries that the snapshot references, in ascending order; empty if its data can't be decoded
 std::vector<consensus::EntryId> entries_of(const consensus::Snapshot& snapshot);
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr absl::Duration kPlanInterval = absl::Milliseconds(100);
-/// Between tries to hand leadership to the member that should have it, and twice the first wait.
+/// Time between transfers to the preferred leader; a new leader waits half of it.
 constexpr absl::Duration kLeadershipTransferInterval = absl::Seconds(4);
 
-/// The limiter counts in the newer code's time; both are steady and begin at the same moment.
+/// Converts to the rate limiter's clock type. Both clocks are steady and have the same epoch.
 tenancy::instant QuotaTime(absl::Time now) {
   return tenancy::instant(absl::ToChronoNanoseconds(now - absl::UnixEpoch()));
 }
@@ -60,7 +60,7 @@
   const auto* request = std::get_if<consensus::SnapshotRequest>(&message);
   bool newer = request != nullptr && request->snapshot.index > raft_.commit_index();
   if (newer && !HasReferencedEntries(request->snapshot)) {
-    ++incomplete_snapshots_;  // A part was lost on the way. The leader sends it all again.
+    ++incomplete_snapshots_;  // A part was lost. The leader sends the snapshot again.
     return;
   }
   raft_.Step(now_, from, message);
@@ -76,7 +76,7 @@
     return;
   }
   superseded_.erase(machine.identity);
-  // A machine has one identity at a time: an older one is gone for good, with its disk.
+  // A machine has one identity at a time: a former identity was lost with its disk.
   for (auto known = machines_.begin(); known != machines_.end();) {
     bool superseded = known->second.name == machine.name && known->first != machine.identity;
     if (!superseded) {
@@ -123,7 +123,7 @@
     return;
   }
   if (in_flight_.contains(requester)) {
-    return;  // Asked again out of impatience: one entry in the log answers both.
+    return;  // A retry of a pending request: one log entry serves both.
   }
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
   if (proposals_.size() >= options_.max_pending || (!settlement && (disk_full_ || Overloaded()))) {
@@ -146,7 +146,7 @@
     return true;
   }
   if (const auto* quota = std::get_if<TakeQuota>(&request.operation)) {
-    // A leader that was replaced without knowing it must not count beside the next one.
+    // A deposed leader that has not noticed must not grant quota alongside its successor.
     if (!raft_.HoldsLease(now_)) {
       Reply(requester, ReplyStatus::kNotLeader);
       return true;
@@ -215,10 +215,10 @@
     known_machine.zone = machine.zone;
     known_machine.retiring =
         std::find(retiring_.begin(), retiring_.end(), machine.name) != retiring_.end();
-    auto heard = last_heard_.find(identity);
-    absl::Time last = heard == last_heard_.end() ? absl::InfinitePast() : heard->second;
+    auto contact = last_heard_.find(identity);
+    absl::Time last = contact == last_heard_.end() ? absl::InfinitePast() : contact->second;
     last = std::max(last, raft_.LastContact(identity));
-    // A new leader gives every member the time to be heard of.
+    // A new leader counts members' time without contact from its election.
     bool member = view.configuration.IsVoter(identity) || view.configuration.IsLearner(identity);
     last = member ? std::max(last, leader_since_) : last;
     known_machine.time_since_contact =
@@ -326,7 +326,7 @@
     const consensus::Snapshot& snapshot = *ready.snapshot_to_install;
     RestoreState(snapshot);
     snapshot_schedule_.NoteInstalled(snapshot);
-    snapshot_in_progress_.reset();  // The leader's is newer.
+    snapshot_in_progress_.reset();  // The installed one is newer.
   }
   for (const consensus::Entry& entry : ready.committed) {
     ApplyEntry(entry);
@@ -359,8 +359,8 @@
   }
   auto command = wire::Decode<Command>(entry.payload);
   if (!command) {
-    // Only a later build writes it. Passed over here and applied by others, it would part the
-    // states.
+    // Written by a later build. Skipping an entry that other replicas apply would make the states
+    // diverge.
     Halt(entry.index);
     return;
   }
@@ -369,7 +369,7 @@
   for (consensus::LogIndex expired : state_.TakeExpiredEntries()) {
     unreferenced_entries_.push_back(expired);
   }
-  // A leader's clock starts at its log's end, which it may only have applied now.
+  // A leader's ledger clock continues from the end of the log, which may only now be applied.
   if (raft_.IsLeader()) {
     ledger_time_at_election_ = std::max(
         ledger_time_at_election_, state_.now() - absl::ToInt64Milliseconds(now_ - leader_since_));
@@ -401,9 +401,9 @@
   step.part = in_progress.encoder.next(max_bytes);
   in_progress.snapshot.data += step.part;
   if (in_progress.encoder.done()) {
-    const consensus::Snapshot& whole = in_progress.snapshot;
-    step.finished = consensus::Snapshot{whole.index, whole.term, whole.configuration, ""};
-    step.kept = state_.ReferencedEntries(whole.index);
+    const consensus::Snapshot& snapshot = in_progress.snapshot;
+    step.finished = consensus::Snapshot{snapshot.index, snapshot.term, snapshot.configuration, ""};
+    step.kept = state_.ReferencedEntries(snapshot.index);
   }
   return step;
 }
@@ -416,16 +416,16 @@
 }
 
 void TurnReplica::OnStoredEntries(const std::vector<consensus::LogIndex>& kept) {
-  std::vector<consensus::LogIndex> in_use = state_.ReferencedEntries(raft_.snapshot_index());
+  std::vector<consensus::LogIndex> referenced = state_.ReferencedEntries(raft_.snapshot_index());
   for (consensus::LogIndex index : kept) {
-    if (!std::binary_search(in_use.begin(), in_use.end(), index)) {
+    if (!std::binary_search(referenced.begin(), referenced.end(), index)) {
       unreferenced_entries_.push_back(index);
     }
   }
 }
 
 std::vector<consensus::LogIndex> TurnReplica::TakeUnreferencedEntries() {
-  // Later entries are part of the log. The snapshot that takes its place leaves them out.
+  // Entries after the snapshot are still part of the log. The next snapshot drops them.
   std::vector<consensus::LogIndex> taken = std::exchange(unreferenced_entries_, {});
   std::erase_if(taken, [&](consensus::LogIndex index) { return index > raft_.snapshot_index(); });
   return taken;
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -1,5 +1,5 @@
-// One replica of the turn ledger: the replicated log, the state it yields, and the leader's duties.
-// Decision code only: no I/O, clock or threads.
+// One replica of a turn ledger group: the replicated log, the state machine, and the leader's
+// tasks. Decision logic: no I/O, clock or threads.
 #pragma once
 
 #include <cstdint>
@@ -21,35 +21,36 @@
 
 namespace martenyard::turn_ledger {
 
-/// Tunables of a replica.
+/// Tuning parameters of a replica.
 struct ReplicaOptions {
   consensus::RaftOptions raft;
   PlannerOptions planner;
-  std::size_t max_pending = 4000;  ///< Requests under way at one leader; more are refused.
-  /// Reservations are refused while the oldest request under way is older than this.
+  std::size_t max_pending = 4000;  ///< Limit of pending proposals; further requests are refused.
+  /// Reservations are refused while the oldest pending proposal is older than this.
   absl::Duration overload_after = absl::Milliseconds(350);
-  /// Leadership goes to the first sound voter: several groups are then led by different machines.
+  /// Transfer leadership to the first healthy voter, so that different machines lead different
+  /// groups.
   bool preferred_leaders = false;
-  tenancy::quota_bounds quota;                                ///< How exactly tenants' limits hold.
-  std::uint64_t snapshot_log_bytes = std::uint64_t{2} << 20;  ///< Or the last snapshot's size.
+  tenancy::quota_bounds quota;  ///< Accuracy of the tenants' rate limits.
+  /// Log size at which a snapshot is taken; the last snapshot's size if that is larger.
+  std::uint64_t snapshot_log_bytes = std::uint64_t{2} << 20;
 };
 
-/// Where a request came from, and so where its reply goes.
+/// The origin of a request, to which its reply is sent.
 struct Requester {
   wire::Endpoint gateway;
   std::uint64_t request = 0;
-  wire::Layout layout = wire::kNewestLayout;  ///< Of the request, and so of its reply.
+  wire::Layout layout = wire::kNewestLayout;  ///< Layout of the request and of its reply.
   friend auto operator<=>(const Requester&, const Requester&) = default;
 };
 
-/// One step of a snapshot: what to store of it next.
+/// One step of taking a snapshot: the part to store next.
 struct SnapshotStep {
-  bool first = false;  ///< Parts stored before are of a snapshot that was given up.
-  std::string part;    ///< Goes behind the parts of the steps before.
-  /// With the last part: the snapshot's place, without its data. Store it, then call
-  /// `FinishSnapshot`.
+  bool first = false;  ///< Parts stored earlier belong to an abandoned snapshot.
+  std::string part;    ///< To be appended to the parts of the previous steps.
+  /// Set with the last part: the snapshot without its data. Store it, then call `FinishSnapshot`.
   std::optional<consensus::Snapshot> finished;
-  /// With the last part: the entries before the snapshot that must stay readable.
+  /// Set with the last part: the entries before the snapshot that must stay readable.
   std::vector<consensus::LogIndex> kept;
 };
 
@@ -61,8 +62,8 @@
 
 class TurnReplica {
  public:
-  /// @param read_stored reads what is on this machine's disk: all entries that were applied and
-  /// not forgotten, and staged ones.
+  /// @param read_stored reads entries from this machine's disk: applied entries that are still
+  /// referenced, and staged entries.
   TurnReplica(const Machine& self, const ReplicaOptions& options, consensus::RestoredState restored,
               EntryReader read_stored, std::uint64_t seed, absl::Time now);
   TurnReplica(const TurnReplica&) = delete;
@@ -72,51 +73,56 @@
   void OnLogMessage(absl::Time now, NodeId from, const consensus::RaftMessage& message);
   void OnRequest(absl::Time now, const wire::Endpoint& gateway, const LedgerRequest& request,
                  wire::Layout layout = wire::kNewestLayout);
-  /// Something was heard of `machine`. @param self_reported it said so itself: then this is its
-  /// present identity. What others tell may be old; it counts only while nothing is known of that
-  /// name.
+  /// Updates what is known of `machine`. Reports by other machines may be outdated and are used
+  /// only while no machine of that name is known.
+  /// @param self_reported the machine itself sent this, with its current identity.
   void UpdateMachine(absl::Time now, const Machine& machine, bool self_reported = true);
-  /// The process behind `identity` is known to be dead.
+  /// The process of `identity` has terminated.
   void OnMachineDown(absl::Time now, NodeId identity);
-  /// Machines that the operator wants emptied.
+  /// Sets the machines that the operator is retiring.
   void SetRetiring(std::vector<std::string> names) { retiring_ = std::move(names); }
-  /// A full machine's leader takes no new reservations; settlements free what is reserved.
+  /// While the disk is full, a leader refuses reservations. It accepts settlements, which release
+  /// reserved tokens.
   void SetDiskFull(bool disk_full) { disk_full_ = disk_full; }
-  /// A planned stop: hands leadership on, if it leads.
+  /// Before a planned stop: transfers leadership to the most up-to-date reachable voter, if this
+  /// replica leads.
   void TransferLeadership();
 
   bool HasWork() const { return raft_.HasReady() || !replies_.empty(); }
-  /// Snapshots are not among its messages: they go by `NextTransferParts`.
+  /// Its messages exclude snapshots, which `NextTransferParts` returns.
   consensus::Ready TakeReady();
-  /// @return for a snapshot to be installed, the entries before it that must stay readable.
+  /// @return the entries that must stay readable once `snapshot` is installed.
   static std::vector<consensus::LogIndex> EntriesReferencedBy(const consensus::Snapshot& snapshot);
-  /// @param ready whether a member's connection takes more now.
-  /// @return the next part of every snapshot under way to another member.
+  /// @param ready whether a member's connection accepts more data.
+  /// @return the next part of each snapshot transfer in progress.
   std::vector<consensus::Outbound> NextTransferParts(std::size_t max_bytes,
                                                      const std::function<bool(NodeId)>& ready);
-  /// What the disk was found to keep at the start: what nothing refers to is forgotten.
+  /// Called at startup with the entries kept on disk; marks the unreferenced ones for deletion.
   void OnStoredEntries(const std::vector<consensus::LogIndex>& kept);
-  /// @return stored entries that nothing refers to any more; all lie before the snapshot.
+  /// @return stored entries before the snapshot that are no longer referenced.
   std::vector<consensus::LogIndex> TakeUnreferencedEntries();
-  /// Applies what `ready` committed, after it was stored. Begins a snapshot when one is due.
+  /// Applies the committed entries of `ready`, after it was stored. Starts a snapshot if one is
+  /// due.
   void Apply(const consensus::Ready& ready);
-  /// While a snapshot is under way. @return its next part, of about `max_bytes`. Between the
-  /// steps the replica goes on as ever.
+  /// @return the next part, of about `max_bytes`, of the snapshot being taken, if any. The replica
+  /// serves requests between the steps.
   std::optional<SnapshotStep> NextSnapshotStep(std::size_t max_bytes);
   bool IsTakingSnapshot() const { return snapshot_in_progress_.has_value(); }
-  /// The last step is stored: the log up to the snapshot is dropped.
+  /// Truncates the log up to the snapshot, whose last step was stored.
   void FinishSnapshot();
   std::vector<OutgoingLedgerReply> TakeReplies();
 
-  /// @return true when this leader knows that `machine` may be taken away.
+  /// @return true if this replica is the current leader and `machine` can be removed without data
+  /// loss.
   bool CanRemoveMachine(const std::string& machine) const;
   bool IsCurrentLeader() const { return raft_.LeaderIsCurrent() && !unreadable_index_; }
-  /// @return the index of an entry or a snapshot that this build can't read: the replica is then as
-  /// good as down, and neither leads nor answers. Nothing, as long as it has read all.
+  /// @return the index of an entry or snapshot that this build can't decode, if there is one. The
+  /// replica then neither leads nor replies.
   std::optional<consensus::LogIndex> unreadable_index() const { return unreadable_index_; }
   const consensus::Raft& raft() const { return raft_; }
   const TurnState& state() const { return state_; }
-  /// Snapshots from a leader that were passed over, since entries that they name were missing.
+  /// Number of received snapshots that were ignored, since entries that they reference were
+  /// missing.
   std::uint64_t incomplete_snapshots() const { return incomplete_snapshots_; }
   std::size_t transfers() const { return transfers_.size(); }
   const std::map<NodeId, Machine>& machines() const { return machines_; }
@@ -130,22 +136,23 @@
   };
 
   LedgerMillis LedgerNow() const;
-  /// Answers what needs no entry in the log. @return false when it does.
+  /// Replies to a request that needs no log entry.
+  /// @return false if the request needs one.
   bool ReplyWithoutLog(const Requester& requester, const LedgerRequest& request);
-  /// True when a new reservation would wait so long that its requester gives it up.
+  /// Whether a new reservation would wait longer than its requester does.
   bool Overloaded() const;
   void UpdateLeadership();
   void PlanConfiguration();
   GroupView MakeGroupView() const;
   void ApplyEntry(const consensus::Entry& entry);
   std::optional<consensus::Entry> ReadEntry(consensus::EntryId entry) const;
-  /// True when every entry that the snapshot names is on this machine's disk.
+  /// Whether every entry that the snapshot references is on this machine's disk.
   bool HasReferencedEntries(const consensus::Snapshot& snapshot) const;
   void BeginSnapshotIfDue();
-  /// Ends the replica's part in its group: its state would differ from the others'.
+  /// Stops the replica for good, since its state would diverge from the others'.
   void Halt(consensus::LogIndex unreadable);
   void RestoreState(const consensus::Snapshot& snapshot);
-  /// Tells whoever waits for a proposal of this replica to ask elsewhere.
+  /// Tells the requesters of all pending proposals to retry elsewhere.
   void AbandonProposals();
   void Reply(const Requester& requester, ReplyStatus status, OperationResult result = {});
 
@@ -164,7 +171,7 @@
 
   /// A snapshot being encoded.
   struct SnapshotInProgress {
-    consensus::Snapshot snapshot;  ///< Its data grows with each step.
+    consensus::Snapshot snapshot;  ///< The data grows with each step.
     state_image_encoder encoder;
     bool started = false;
   };
@@ -172,20 +179,20 @@
   consensus::SnapshotSchedule snapshot_schedule_;
   std::optional<SnapshotInProgress> snapshot_in_progress_;
 
-  std::map<NodeId, snapshot_transfer> transfers_;          // Of a leader, to other members.
-  std::vector<consensus::LogIndex> unreferenced_entries_;  // To be told to the disk.
+  std::map<NodeId, snapshot_transfer> transfers_;          // To other members, while leading.
+  std::vector<consensus::LogIndex> unreferenced_entries_;  // To be deleted from disk.
   std::uint64_t incomplete_snapshots_ = 0;
   bool disk_full_ = false;
-  std::optional<consensus::LogIndex> unreadable_index_;  ///< See `unreadable_index`.
+  std::optional<consensus::LogIndex> unreadable_index_;
 
   std::map<NodeId, Machine> machines_;
   std::map<NodeId, absl::Time> last_heard_;
-  std::set<NodeId> superseded_;  ///< Identities whose disk is known to be gone.
+  std::set<NodeId> superseded_;  ///< Former identities of machines that lost their disk.
   std::vector<std::string> retiring_;
   std::map<consensus::LogIndex, Proposal> proposals_;
-  std::set<Requester> in_flight_;  ///< Of `proposals_`.
+  std::set<Requester> in_flight_;  ///< The requesters of `proposals_`.
   std::vector<OutgoingLedgerReply> replies_;
-  tenancy::rate_limiter quotas_;  ///< Of the tenants hashed to this group, while it leads.
+  tenancy::rate_limiter quotas_;  ///< For the tenants hashed to this group, while leading.
 };
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/turn_state.cc
+++ b/src/turn_ledger/turn_state.cc
@@ -10,7 +10,7 @@
 namespace martenyard::turn_ledger {
 namespace {
 
-/// Records outlive their retention by this much: the requester's clock began a little later.
+/// Added to each retention period, since the requester starts counting later than the ledger.
 constexpr LedgerMillis kRetentionMargin = 15000;
 constexpr LedgerMillis kExpiryInterval = 2000;
 
--- a/src/turn_ledger/turn_state.h
+++ b/src/turn_ledger/turn_state.h
@@ -1,4 +1,4 @@
-// The state machine of the turn ledger: what every replica computes from the same log.
+// The replicated state machine of the turn ledger.
 #pragma once
 
 #include <cstdint>
@@ -16,40 +16,41 @@
 
 namespace martenyard::turn_ledger {
 
-/// Reads an entry of the replicated log back, from memory or the disk.
-/// @return nothing when it isn't there any more, or can't be read.
+/// Reads an entry of the replicated log from memory or disk.
+/// @return nothing if the entry was deleted or can't be read.
 using EntryReader = std::function<std::optional<consensus::Entry>(consensus::EntryId)>;
 
-/// Texts of turns are not part of this object: it names the entries of the log that brought them.
+/// Holds the ids of the log entries that contain the texts of turns, not the texts.
 class TurnState {
  public:
-  /// @param read_entry for chains that are asked for.
+  /// @param read_entry reads the texts of requested chains.
   explicit TurnState(EntryReader read_entry) : read_entry_(std::move(read_entry)) {}
 
-  /// Applies one command. Commands repeat: a lost answer's request is sent again.
-  /// @param entry_id the command's entry in the log.
-  /// @param with_history whether the result needs the chain that was asked for.
+  /// Applies one command. An operation may arrive repeatedly: a request whose reply was lost is
+  /// sent again.
+  /// @param entry_id the log entry of the command.
+  /// @param with_history whether to include the requested chain in the result.
   OperationResult Apply(const Command& command, consensus::EntryId entry_id, bool with_history);
 
-  /// @return the state as it is now; later commands don't change it.
+  /// @return a copy of the current state.
   state_image Capture() const;
-  /// @param bytes the joined parts of an encoded image.
-  /// @return false when `bytes` are no state; the state is then empty.
+  /// @param bytes the concatenated parts of an encoded image.
+  /// @return false if `bytes` can't be decoded; the state is then empty.
   bool Restore(const std::string& bytes);
 
-  /// @return what the request asks for; the reply's `m_found` tells whether the turn is kept here
-  /// and can be read.
+  /// @return the requested chain; `m_found` is false if the turn is not stored here or can't be
+  /// read.
   chain_reply ReadChain(const chain_request& request) const;
 
-  /// @return whether the program has an account: it reserved tokens before.
+  /// @return whether the program has an account.
   bool HasProgram(const ProgramId& program) const { return accounts_.contains(program); }
   LedgerMillis now() const { return now_; }
   std::size_t programs() const { return accounts_.size(); }
   std::size_t turns() const { return turns_.size(); }
   std::uint64_t turn_bytes() const { return turn_bytes_; }
-  /// @return the entries up to `last` that texts of kept turns lie in, in rising order.
+  /// @return the entries up to `last` that contain texts of stored turns, in ascending order.
   std::vector<consensus::LogIndex> ReferencedEntries(consensus::LogIndex last) const;
-  /// @return the entries whose texts expired since the last call.
+  /// @return the entries of turns that expired since the last call.
   std::vector<consensus::LogIndex> TakeExpiredEntries() { return std::exchange(expired_, {}); }
 
  private:
@@ -57,13 +58,14 @@
   OperationResult Settle(const SettleTurn& settle, consensus::EntryId entry_id);
   OperationResult Find(const FindTurn& find, bool with_history);
   void StoreTurn(const SettleTurn& settle, consensus::EntryId entry_id);
-  /// Keeps a turn and its whole chain at least until `until`.
+  /// Extends the retention of a turn and its whole chain to at least `until`.
   void ExtendRetention(const std::optional<TurnId>& turn, LedgerMillis until);
-  /// Puts the chain up to and with `turn` into the result.
+  /// Sets the result's history to the chain up to and including `turn`.
   void AddHistory(const TurnId& turn, OperationResult& result) const;
-  /// @return the turns' texts joined, or nothing when one can't be read.
+  /// @return the concatenated texts of the turns, or nothing if one can't be read.
   std::optional<std::string> ReadTexts(const std::vector<const kept_turn*>& chain) const;
-  /// @return the turns of the chain, oldest first, from the one after `known` on (or all).
+  /// @return the turns of the chain after `known`, oldest first; all turns if `known` is no
+  /// ancestor.
   std::vector<const kept_turn*> ChainOf(const TurnId& turn, const std::optional<TurnId>& known,
                                         bool& reached_known) const;
   void Expire();
--- a/src/turn_ledger/types.h
+++ b/src/turn_ledger/types.h
@@ -1,8 +1,8 @@
-// The turn ledger's data: token budgets of programs, and turns with the chain each goes on from.
+// Operations of the turn ledger: token budgets of programs, and stored turns linked into chains.
 //
 // A turn is one model call of a program. Its tokens are reserved before it is sent to a runner and
-// settled when its answer has ended; a completed turn's input and output may be kept, so that a
-// later turn brings only what is new.
+// settled when its response has ended. The input and output of a completed turn may be stored, so
+// that a later turn that continues it sends only new text.
 #pragma once
 
 #include <cstdint>
@@ -17,21 +17,22 @@
 
 namespace martenyard::turn_ledger {
 
-/// One try to run a turn: unique over all clients and times.
+/// Identifies one attempt to run a turn; globally unique.
 using TurnId = TypedId<struct TurnTag, std::string>;
 
-/// Milliseconds of the ledger's own clock: it runs only while some replica leads, and never back.
+/// Milliseconds on the ledger's logical clock, which advances only while a replica leads and never
+/// goes back.
 using LedgerMillis = std::int64_t;
 
-/// Asks for leave to run a turn.
+/// Reserves tokens for a turn before it runs.
 struct ReserveTurn {
   ProgramId program;
   TurnId turn;
-  std::uint64_t tokens = 0;             ///< The most that the turn may generate.
-  std::optional<std::uint64_t> budget;  ///< What the whole program may generate; none: no limit.
-  std::optional<TurnId> previous;       ///< The kept turn that this one goes on from.
-  bool has_previous = false;            ///< The requester holds that turn's chain already.
-  std::uint32_t retention_ms = 60000;   ///< How long the program's account outlives its last use.
+  std::uint64_t tokens = 0;             ///< Maximum number of tokens that the turn may generate.
+  std::optional<std::uint64_t> budget;  ///< Token budget of the whole program; empty: unlimited.
+  std::optional<TurnId> previous;       ///< The stored turn that this one continues.
+  bool has_previous = false;            ///< The requester already has the chain of `previous`.
+  std::uint32_t retention_ms = 60000;   ///< Retention of the program's account after its last use.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -39,10 +40,10 @@
   }
 };
 
-/// Where a turn ran, and so which runner most likely still keeps what it read and made.
+/// The runner that executed a turn, which most likely still has its tokens cached.
 struct TurnPlace {
-  std::uint32_t runner = 0;  ///< Its short id; 0 when it isn't known.
-  std::uint32_t tokens = 0;  ///< Of the turn's prompt and answer.
+  std::uint32_t runner = 0;  ///< Short id of the runner; 0 if unknown.
+  std::uint32_t tokens = 0;  ///< Tokens of the turn's prompt and output.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -50,11 +51,11 @@
   }
 };
 
-/// A turn whose answer ended whole, to be kept.
+/// A turn whose response was complete, to be stored.
 struct CompletedTurn {
   std::optional<TurnId> previous;
-  std::string input;   ///< What the turn added to its chain.
-  std::string output;  ///< The data of its events, each followed by a line feed.
+  std::string input;   ///< The input that the turn adds to its chain.
+  std::string output;  ///< Data of the response's events, each followed by a line feed.
   TurnPlace place;
 
   template <class Archive>
@@ -63,12 +64,12 @@
   }
 };
 
-/// Says what a reserved turn came to. A turn never reserved is marked, so that a reservation that
-/// arrives later is refused.
+/// Replaces a turn's reservation by the tokens it used. A turn that was never reserved is recorded
+/// as settled, so that a reservation that arrives later is refused.
 struct SettleTurn {
   ProgramId program;
   TurnId turn;
-  std::uint64_t tokens = 0;  ///< What reached the client at most.
+  std::uint64_t tokens = 0;  ///< Upper bound of the tokens delivered to the client.
   std::optional<CompletedTurn> completed;
   std::uint32_t retention_ms = 60000;
 
@@ -78,10 +79,10 @@
   }
 };
 
-/// Asks for a turn's chain, in its place in the log: "no such turn" is then true of this group.
+/// Reads a turn's chain through the log, which makes a negative result authoritative for the group.
 struct FindTurn {
   TurnId turn;
-  std::uint32_t retention_ms = 60000;  ///< The chain is kept this much longer.
+  std::uint32_t retention_ms = 60000;  ///< Extends the retention of the chain by this much.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -89,13 +90,13 @@
   }
 };
 
-/// Asks whether the group's leader can be reached and leads. Never in the log.
+/// Checks that the group's leader is reachable and still leads. Not written to the log.
 struct Probe {
   template <class Archive>
   void serialize(Archive& /*archive*/) {}
 };
 
-/// Asks the group's leader whether requests of a tenant are within its limit. Never in the log.
+/// Requests quota of a tenant's rate limit from the group's leader. Not written to the log.
 struct TakeQuota {
   tenancy::quota_request request;
   template <class Archive>
@@ -106,7 +107,7 @@
 
 using Operation = std::variant<ReserveTurn, SettleTurn, FindTurn, Probe, TakeQuota>;
 
-/// One entry of the replicated log.
+/// Payload of a command entry of the replicated log.
 struct Command {
   LedgerMillis timestamp = 0;
   Operation operation;
@@ -119,21 +120,21 @@
 
 enum class Verdict : std::uint8_t {
   kDone,
-  kBudgetSpent,      ///< Nothing was reserved: the program's budget doesn't hold the turn.
-  kUnknownPrevious,  ///< Nothing was reserved: there is no such turn.
-  kAlreadySettled,   ///< The turn was given up already: it must not run.
-  kUnknownProgram,   ///< Nothing was reserved: only programs under way were asked for.
+  kBudgetSpent,      ///< Nothing was reserved: the turn exceeds the program's budget.
+  kUnknownPrevious,  ///< Nothing was reserved: the previous turn is not stored.
+  kAlreadySettled,   ///< The turn was settled before: it must not run.
+  kUnknownProgram,   ///< Nothing was reserved: the program has no account, and none may be created.
 };
 
 struct OperationResult {
   Verdict verdict = Verdict::kDone;
-  std::string history;         ///< The chain up to and with `previous`, oldest turn first.
-  std::uint64_t spent = 0;     ///< Of the program, settled.
-  std::uint64_t reserved = 0;  ///< Of the program, not settled yet.
-  /// The chain was asked for and can't be read here: the answer says nothing.
+  std::string history;  ///< Text of the chain up to and including `previous`, oldest turn first.
+  std::uint64_t spent = 0;     ///< Settled tokens of the program.
+  std::uint64_t reserved = 0;  ///< Reserved and not yet settled tokens of the program.
+  /// The requested chain can't be read on this replica: the result must not be used.
   bool history_missing = false;
-  TurnPlace previous_place;     ///< Of a reservation: where `previous` ran.
-  tenancy::quota_answer quota;  ///< Of `TakeQuota`.
+  TurnPlace previous_place;     ///< For a reservation: where `previous` ran.
+  tenancy::quota_answer quota;  ///< For `TakeQuota`.
 
   template <class Archive>
   void serialize(Archive& archive) {
