--- a/tests/turn_ledger/frames/frame_codec_test.cc
+++ b/tests/turn_ledger/frames/frame_codec_test.cc
@@ -1,4 +1,4 @@
-// Frames of other builds, later ones too: read where that is possible, and named where it isn't.
+// Frames of other builds, including later ones: decoded if possible, reported as unreadable otherwise.
 #include "turn_ledger/frames/frame_codec.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
     return {layouts::gateway_machine(), layouts::ledger_request<LedgerRequest>(Probe{})};
 }
 
-TEST(FrameCodec, LaterBuildsFrameIsNamedAndNotRead)
+TEST(FrameCodec, FrameOfALaterLayoutIsReportedAsUnreadable)
 {
     std::string payload = wire::Mark({newest + 1, newest + 4}, wire::Encode(probe()) + "more");
     decoded_frame read = decode_frame(payload);
@@ -32,7 +32,7 @@
     EXPECT_EQ(unreadable->m_from, "edge-1");
 }
 
-TEST(FrameCodec, LaterBuildThatWritesAKnownLayoutIsWrittenToInTheNewestOfThisBuild)
+TEST(FrameCodec, LaterBuildThatWritesAKnownLayoutReadsTheNewestOfThisBuild)
 {
     decoded_frame read = decode_frame(wire::Mark({newest, newest + 4}, wire::Encode(probe())));
     auto* message = std::get_if<decoded_message>(&read);
@@ -40,7 +40,7 @@
     EXPECT_EQ(message->m_sender_reads, wire::kNewestLayout);
 }
 
-TEST(FrameCodec, GreetingOfALaterBuildIsReadWhateverStandsBehindIt)
+TEST(FrameCodec, GreetingOfALaterBuildIsReadDespiteTrailingBytes)
 {
     wire::Greeting greeting{{"10.0.0.9", 7381}, "edge-1", "later", true};
     decoded_frame read =
@@ -54,14 +54,14 @@
     EXPECT_EQ(common_layout(greeted->m_newest), wire::kNewestLayout);
 }
 
-TEST(FrameCodec, OperationThatALayoutDoesNotHaveIsNotWritten)
+TEST(FrameCodec, OperationThatALayoutDoesNotSupportIsNotEncoded)
 {
     Envelope quota{layouts::gateway_machine(), layouts::ledger_request<LedgerRequest>(TakeQuota{})};
     EXPECT_FALSE(encode_frame(quota, Layout::kUnmarked1).has_value());
     EXPECT_TRUE(encode_frame(quota, Layout::kUnmarked2).has_value());
 }
 
-TEST(FrameCodec, MarkIsNoBeginningOfAMessageWithoutOne)
+TEST(FrameCodec, UnmarkedMessageDoesNotStartWithAMark)
 {
     for (Layout layout : {Layout::kUnmarked1, Layout::kUnmarked2})
     {
@@ -72,8 +72,8 @@
     }
 }
 
-/// A request or reply of any values, in an unmarked layout, is never taken for one of the other.
-RC_GTEST_PROP(FrameCodecProperty, UnmarkedFramesAreTakenForTheirOwnLayout, ())
+/// A request or reply with arbitrary values in one unmarked layout is never decoded as the other.
+RC_GTEST_PROP(FrameCodecProperty, UnmarkedFramesAreDecodedInTheirOwnLayout, ())
 {
     Layout layout = *rc::gen::element(Layout::kUnmarked1, Layout::kUnmarked2);
     LedgerReply reply;
--- a/tests/turn_ledger/frames/peer_layouts_test.cc
+++ b/tests/turn_ledger/frames/peer_layouts_test.cc
@@ -1,4 +1,4 @@
-// What is known of peers' layouts: learned anew with each connection, and when requests go unanswered.
+// Layouts of peers are learned again for each connection and when requests get no reply.
 #include "turn_ledger/frames/peer_layouts.h"
 
 #include <gtest/gtest.h>
@@ -26,32 +26,32 @@
     peer_layouts::instant m_now{milliseconds(1000)};
 };
 
-TEST_F(PeerLayouts, UnknownPeerIsAskedOnceInAWhile)
+TEST_F(PeerLayouts, UnknownPeerIsAskedAtIntervals)
 {
     EXPECT_TRUE(request_after(0));
     EXPECT_FALSE(request_after(150));
     EXPECT_EQ(m_layouts.of(peer), std::nullopt);
-    EXPECT_TRUE(request_after(60)) << "the question, or its answer, was lost";
+    EXPECT_TRUE(request_after(60)) << "the question or its reply was lost";
 }
 
-TEST_F(PeerLayouts, PeerThatStaysSilentIsAskedLessAndLess)
+TEST_F(PeerLayouts, UnresponsivePeerIsAskedAtGrowingIntervals)
 {
     int asked = 0;
     for (int ms = 0; ms < 20000; ms += 50)
     {
         asked += request_after(50) ? 1 : 0;
     }
-    EXPECT_LE(asked, 10) << "after 0.2, 0.6, 1.4, 3.0, 6.2 s, then each 3.2 s";
+    EXPECT_LE(asked, 10) << "after 0.2, 0.6, 1.4, 3.0, 6.2 s, then every 3.2 s";
     EXPECT_GE(asked, 8);
     m_layouts.on_frame_received(peer, Layout::kMarked3);
     EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3);
 }
 
-TEST_F(PeerLayouts, KnownPeerIsNotAskedAgainWhileItAnswers)
+TEST_F(PeerLayouts, KnownPeerIsNotAskedAgainWhileItReplies)
 {
     request_after(0);
     EXPECT_TRUE(m_layouts.on_frame_received(peer, Layout::kUnmarked1));
-    EXPECT_FALSE(m_layouts.on_frame_received(peer, Layout::kUnmarked1)) << "no news";
+    EXPECT_FALSE(m_layouts.on_frame_received(peer, Layout::kUnmarked1)) << "no change";
     for (int second = 0; second < 5; ++second)
     {
         EXPECT_FALSE(request_after(1000));
@@ -60,7 +60,7 @@
     EXPECT_EQ(m_layouts.of(peer), Layout::kUnmarked1);
 }
 
-TEST_F(PeerLayouts, ProcessThatAnswersEachQuestionInItsOwnLayoutIsKnownByTheNewest)
+TEST_F(PeerLayouts, PeerThatRepliesInSeveralLayoutsIsKnownByTheNewest)
 {
     request_after(0);
     m_layouts.on_frame_received(peer, Layout::kMarked3);
@@ -69,7 +69,7 @@
     EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3);
 }
 
-TEST_F(PeerLayouts, NewConnectionMayLeadToAnotherBuildInEitherDirection)
+TEST_F(PeerLayouts, NewConnectionMayLeadToAnEarlierOrLaterBuild)
 {
     for (auto [before, after] :
          {std::pair(Layout::kUnmarked1, Layout::kMarked3), std::pair(Layout::kMarked3, Layout::kUnmarked1)})
@@ -85,21 +85,21 @@
     }
 }
 
-// The former process's last frames may be read after its connection broke, and would be taken for the
-// present one's.
-TEST_F(PeerLayouts, PeerThatLeavesRequestsUnansweredIsAskedAnewAndMayReadLess)
+// The last frames of a previous process may be processed after its connection was closed and be attributed to
+// the current one.
+TEST_F(PeerLayouts, PeerThatStopsReplyingIsAskedAgainAndMayReadLess)
 {
     request_after(0);
     m_layouts.on_frame_received(peer, Layout::kMarked3);
     EXPECT_FALSE(request_after(1000));
     EXPECT_FALSE(request_after(300));
-    EXPECT_TRUE(request_after(100)) << "nothing came back for 400 ms";
-    EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3) << "it may only be slow";
+    EXPECT_TRUE(request_after(100)) << "no reply for 400 ms";
+    EXPECT_EQ(m_layouts.of(peer), Layout::kMarked3) << "the peer may just be slow";
     EXPECT_TRUE(m_layouts.on_frame_received(peer, Layout::kUnmarked1));
     EXPECT_EQ(m_layouts.of(peer), Layout::kUnmarked1);
 }
 
-TEST_F(PeerLayouts, FramesOfAPeerThatWasAskedNothingTeachNothing)
+TEST_F(PeerLayouts, FramesOfAPeerWithoutRequestsAreIgnored)
 {
     EXPECT_FALSE(m_layouts.on_frame_received(peer, Layout::kMarked3));
     EXPECT_EQ(m_layouts.of(peer), std::nullopt);
--- a/tests/turn_ledger/group_layout_test.cc
+++ b/tests/turn_ledger/group_layout_test.cc
@@ -1,4 +1,4 @@
-// How machines are dealt to groups, and programs to groups.
+// Assignment of machines and programs to groups.
 #include "turn_ledger/groups/group_layout.h"
 
 #include <gtest/gtest.h>
@@ -34,31 +34,31 @@
   EXPECT_EQ(layout[0].voters.size(), 2U);
 }
 
-RC_GTEST_PROP(GroupLayoutPropertyTest, LeadersAndReplicasAreDealtEvenlyAndAcrossZones, ()) {
+RC_GTEST_PROP(GroupLayoutPropertyTest, LeadersAndReplicasAreDistributedEvenly, ()) {
   auto zones = *rc::gen::inRange<std::size_t>(3, 7);
   auto count = *rc::gen::inRange<std::size_t>(min_machines_for_groups, 20);
   std::size_t replicas = 2 * *rc::gen::inRange<std::size_t>(1, 3) + 1;
   std::vector<Machine> machines = Machines(count, zones);
   group_layout layout = layout_groups(machines, replicas);
   RC_ASSERT(layout.size() == count);
-  std::map<NodeId, std::size_t> led;
-  std::map<NodeId, std::size_t> held;
+  std::map<NodeId, std::size_t> groups_led;
+  std::map<NodeId, std::size_t> replicas_held;
   for (const consensus::Configuration& group : layout) {
     RC_ASSERT(group.voters.size() == replicas);
-    std::set<NodeId> different(group.voters.begin(), group.voters.end());
-    RC_ASSERT(different.size() == replicas);
-    ++led[group.voters.front()];
+    std::set<NodeId> distinct(group.voters.begin(), group.voters.end());
+    RC_ASSERT(distinct.size() == replicas);
+    ++groups_led[group.voters.front()];
     for (NodeId voter : group.voters) {
-      ++held[voter];
+      ++replicas_held[voter];
     }
   }
   for (const Machine& machine : machines) {
-    RC_ASSERT(led[machine.identity] == 1U);
-    RC_ASSERT(held[machine.identity] == replicas);
+    RC_ASSERT(groups_led[machine.identity] == 1U);
+    RC_ASSERT(replicas_held[machine.identity] == replicas);
   }
 }
 
-TEST(GroupLayoutTest, ProgramsAreSpreadAndFoundersAreAskedFirst) {
+TEST(GroupLayoutTest, ProgramsAreDistributedAndInitialMembersComeFirst) {
   std::map<GroupId, int> programs;
   for (int number = 0; number < 800; ++number) {
     ++programs[group_of(ProgramId("program-" + std::to_string(number)), 8)];
--- a/tests/turn_ledger/later_build_test.cc
+++ b/tests/turn_ledger/later_build_test.cc
@@ -1,8 +1,5 @@
-// A machine went back to an earlier build after a later one had written to its log. An entry that
-// the earlier build couldn't read was passed over, and an unreadable snapshot counted as an empty
-// state, with no line in the log: the replica could lead then and say "no such turn" of turns that
-// were kept. Found by reading, while looking for the class of the answers that were cut during an
-// upgrade. A replica that can't read its state must be as good as down: the others go on.
+// Downgrades: a replica that can't decode an entry or a snapshot written by a later build must
+// neither lead nor reply. Skipping it would let the replica deny the existence of stored turns.
 #include <gtest/gtest.h>
 
 #include "turn_ledger/turn_replica.h"
@@ -14,12 +11,12 @@
 const wire::Endpoint kGateway{"10.0.0.99", 1};
 const NodeId kSelf{7};
 
-/// Bytes of a command that a later build might write.
+/// A command that only a later build can decode.
 std::string LaterCommand() { return wire::Encode(Command{1, Probe{}}) + "more"; }
 
 class LaterBuildTest : public ::testing::Test {
  protected:
-  /// The only voter of a group, which leads by itself, with what is left on its disk.
+  /// Starts the only voter of a group from the state restored from its disk.
   void Start(consensus::RestoredState restored) {
     restored.snapshot.configuration.voters = {kSelf};
     Machine self{"m", kSelf, {"10.0.0.1", 1}, ZoneName("z")};
@@ -31,42 +28,42 @@
     for (int step = 0; step < 100; ++step) {
       now_ += absl::Milliseconds(20);
       replica_->Tick(now_);
-      Pump();
+      ProcessReady();
     }
   }
 
-  void Pump() {
+  void ProcessReady() {
     while (replica_->HasWork()) {
       replica_->Apply(replica_->TakeReady());
       for (const OutgoingLedgerReply& reply : replica_->TakeReplies()) {
-        last_ = reply.reply.status;
+        last_status_ = reply.reply.status;
       }
     }
   }
 
-  ReplyStatus Ask(Operation operation) {
-    last_ = ReplyStatus::kOverloaded;
+  ReplyStatus Submit(Operation operation) {
+    last_status_ = ReplyStatus::kOverloaded;
     replica_->OnRequest(now_, kGateway, {1, std::move(operation)});
-    Pump();
-    return last_;
+    ProcessReady();
+    return last_status_;
   }
 
   absl::Time now_ = absl::FromUnixSeconds(1000);
   std::unique_ptr<TurnReplica> replica_;
-  ReplyStatus last_ = ReplyStatus::kOverloaded;
+  ReplyStatus last_status_ = ReplyStatus::kOverloaded;
 };
 
-TEST_F(LaterBuildTest, ReplicaThatCannotReadAnEntryNeitherLeadsNorAnswers) {
+TEST_F(LaterBuildTest, ReplicaWithAnUnreadableEntryNeitherLeadsNorReplies) {
   consensus::RestoredState restored;
   restored.entries = {{1, 1, consensus::EntryKind::kCommand, LaterCommand()}};
   restored.hard_state = {1, kNoNode};
   Start(restored);
   EXPECT_FALSE(replica_->IsCurrentLeader());
-  EXPECT_EQ(Ask(FindTurn{TurnId("t"), 1000}), ReplyStatus::kNotLeader);
-  EXPECT_EQ(Ask(Probe{}), ReplyStatus::kNotLeader);
+  EXPECT_EQ(Submit(FindTurn{TurnId("t"), 1000}), ReplyStatus::kNotLeader);
+  EXPECT_EQ(Submit(Probe{}), ReplyStatus::kNotLeader);
 }
 
-TEST_F(LaterBuildTest, ReplicaThatCannotReadItsSnapshotNeitherLeadsNorAnswers) {
+TEST_F(LaterBuildTest, ReplicaWithAnUnreadableSnapshotNeitherLeadsNorReplies) {
   consensus::RestoredState restored;
   restored.snapshot.index = 5;
   restored.snapshot.term = 1;
@@ -74,17 +71,17 @@
   restored.hard_state = {1, kNoNode};
   Start(restored);
   EXPECT_FALSE(replica_->IsCurrentLeader());
-  EXPECT_EQ(Ask(FindTurn{TurnId("t"), 1000}), ReplyStatus::kNotLeader);
+  EXPECT_EQ(Submit(FindTurn{TurnId("t"), 1000}), ReplyStatus::kNotLeader);
 }
 
-TEST_F(LaterBuildTest, ReplicaThatReadsAllLeads) {
+TEST_F(LaterBuildTest, ReplicaWithReadableStateLeads) {
   consensus::RestoredState restored;
   restored.entries = {{1, 1, consensus::EntryKind::kCommand,
                        wire::Encode(Command{1, FindTurn{TurnId("t"), 1000}})}};
   restored.hard_state = {1, kNoNode};
   Start(restored);
   EXPECT_TRUE(replica_->IsCurrentLeader());
-  EXPECT_EQ(Ask(Probe{}), ReplyStatus::kDone);
+  EXPECT_EQ(Submit(Probe{}), ReplyStatus::kDone);
 }
 
 }  // namespace
--- a/tests/turn_ledger/ledger_cluster_test.cc
+++ b/tests/turn_ledger/ledger_cluster_test.cc
@@ -1,5 +1,5 @@
-// Whole groups of ledger replicas in virtual time, over a network and disks with faults: what was
-// acknowledged is never lost, and no budget is granted twice.
+// Simulated clusters of ledger replicas with network and disk faults: acknowledged turns are never
+// lost, and budgets are never exceeded.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -25,26 +25,26 @@
   ReplicaOptions options;
   options.raft.heartbeat_interval = absl::Milliseconds(60);
   options.raft.election_timeout = absl::Milliseconds(220);
-  options.snapshot_log_bytes = 4000;  // Small: snapshots are part of every history.
+  options.snapshot_log_bytes = 4000;  // Small, so that every run takes snapshots.
   return options;
 }
 
-/// Storage machines by number; each has one disk at a time.
+/// Storage machines by index; each has one disk at a time.
 class LedgerCluster {
  public:
   LedgerCluster(std::size_t machines, std::uint64_t seed) : random_(seed) {
-    consensus::Configuration founders;
+    consensus::Configuration initial_members;
     for (std::size_t number = 0; number < machines; ++number) {
       disks_.push_back(NewDisk());
       if (number < 3) {
-        founders.voters.push_back(disks_[number].identity);
+        initial_members.voters.push_back(disks_[number].identity);
       }
     }
     replicas_.resize(machines);
     for (std::size_t number = 0; number < machines; ++number) {
       if (number < 3) {
         storage::GroupWrite write;
-        write.snapshot.emplace().configuration = founders;
+        write.snapshot.emplace().configuration = initial_members;
         Store(number, write);
       }
       Start(number);
@@ -67,18 +67,18 @@
     replicas_[number].reset();
     up_.erase(number);
   }
-  /// The disk is lost: the machine comes back under a new identity.
+  /// Replaces the disk by an empty one: the machine restarts with a new identity.
   void Wipe(std::size_t number) {
     Kill(number);
     disks_[number] = NewDisk();
     Start(number);
   }
-  void Cut(std::size_t number) { cut_.insert(number); }
-  void Heal() { cut_.clear(); }
+  void Isolate(std::size_t number) { isolated_.insert(number); }
+  void Heal() { isolated_.clear(); }
   bool IsUp(std::size_t number) const { return up_.contains(number); }
   std::size_t size() const { return disks_.size(); }
   void SetRetiring(const std::vector<std::string>& names) { retiring_ = names; }
-  double drop = 0.0;
+  double drop_probability = 0.0;
 
   void Run(absl::Duration time) {
     for (absl::Time end = now_ + time; now_ < end; now_ += absl::Milliseconds(5)) {
@@ -88,23 +88,24 @@
           replicas_[number]->Tick(now_);
           StoreSnapshotStep(number);
           SendTransfers(number);
-          Pump(number);
+          ProcessReady(number);
         }
       }
-      SayHello();
+      SendHellos();
       Deliver();
     }
   }
 
-  /// Sends `operation` to the leader until it is acknowledged. @return nothing if it never is.
-  std::optional<OperationResult> Do(const Operation& operation, absl::Duration patience) {
+  /// Sends `operation` to all replicas until it is acknowledged.
+  /// @return nothing if `timeout` passes first.
+  std::optional<OperationResult> Submit(const Operation& operation, absl::Duration timeout) {
     std::uint64_t request = ++last_request_;
-    absl::Time end = now_ + patience;
+    absl::Time end = now_ + timeout;
     while (now_ < end) {
       for (std::size_t number = 0; number < size(); ++number) {
-        if (replicas_[number] && !cut_.contains(number)) {
+        if (replicas_[number] && !isolated_.contains(number)) {
           replicas_[number]->OnRequest(now_, kGateway, {request, operation});
-          Pump(number);
+          ProcessReady(number);
         }
       }
       Run(absl::Milliseconds(30));
@@ -124,8 +125,8 @@
     }
     return nullptr;
   }
-  /// True when a leader's committed group is three present, reachable disks.
-  bool IsWhole() {
+  /// Whether there is a leader with a committed configuration of three reachable, caught-up voters.
+  bool IsHealthy() {
     TurnReplica* leader = Leader();
     if (leader == nullptr || !leader->raft().ConfigurationIsCommitted() ||
         leader->raft().configuration().voters.size() != 3) {
@@ -134,13 +135,13 @@
     for (NodeId voter : leader->raft().configuration().voters) {
       std::optional<std::size_t> holder = Find(voter);
       bool caught_up = leader->raft().MatchIndex(voter) + 5 >= leader->raft().commit_index();
-      if (!holder || !IsUp(*holder) || cut_.contains(*holder) || !caught_up) {
+      if (!holder || !IsUp(*holder) || isolated_.contains(*holder) || !caught_up) {
         return false;
       }
     }
     return true;
   }
-  /// For messages of failed checks.
+  /// State of all replicas, for failure messages.
   std::string Describe() {
     std::string text;
     for (std::size_t number = 0; number < size(); ++number) {
@@ -207,7 +208,7 @@
     return std::nullopt;
   }
 
-  void Pump(std::size_t number) {
+  void ProcessReady(std::size_t number) {
     TurnReplica& replica = *replicas_[number];
     while (replica.HasWork()) {
       consensus::Ready ready = replica.TakeReady();
@@ -223,19 +224,19 @@
       Store(number, write);
       for (auto* list : {&ready.messages_before_store, &ready.messages_after_store}) {
         for (consensus::Outbound& outbound : *list) {
-          wire_.push_back({number, outbound.to, std::move(outbound.message)});
+          messages_in_flight_.push_back({number, outbound.to, std::move(outbound.message)});
         }
       }
       replica.Apply(ready);
       for (OutgoingLedgerReply& reply : replica.TakeReplies()) {
-        if (reply.reply.status == ReplyStatus::kDone && !cut_.contains(number)) {
+        if (reply.reply.status == ReplyStatus::kDone && !isolated_.contains(number)) {
           replies_[reply.reply.request] = reply.reply.result;
         }
       }
     }
   }
 
-  /// A kill between two steps leaves the parts of a snapshot that was never finished.
+  /// Stores one step at a time, so that a kill can leave an unfinished snapshot.
   void StoreSnapshotStep(std::size_t number) {
     constexpr std::size_t kStepBytes = 700;
     auto step = replicas_[number]->NextSnapshotStep(kStepBytes);
@@ -253,12 +254,12 @@
     }
   }
 
-  /// Parts of snapshots to other members, so small that most snapshots have several.
+  /// Sends snapshots in small parts, so that most have several.
   void SendTransfers(std::size_t number) {
     constexpr std::size_t kPartBytes = 300;
     auto parts = replicas_[number]->NextTransferParts(kPartBytes, [](NodeId) { return true; });
     for (consensus::Outbound& part : parts) {
-      wire_.push_back({number, part.to, std::move(part.message)});
+      messages_in_flight_.push_back({number, part.to, std::move(part.message)});
     }
   }
 
@@ -267,12 +268,12 @@
     disks_[number].store->Write({std::move(write)});
   }
 
-  void SayHello() {
+  void SendHellos() {
     for (std::size_t from = 0; from < size(); ++from) {
       for (std::size_t to = 0; to < size(); ++to) {
-        bool open =
-            from != to && IsUp(from) && replicas_[to] && !cut_.contains(from) && !cut_.contains(to);
-        if (open) {
+        bool reachable = from != to && IsUp(from) && replicas_[to] && !isolated_.contains(from) &&
+                         !isolated_.contains(to);
+        if (reachable) {
           replicas_[to]->UpdateMachine(now_, MachineOf(from));
         }
       }
@@ -280,11 +281,11 @@
   }
 
   void Deliver() {
-    auto arriving = std::exchange(wire_, {});
+    auto arriving = std::exchange(messages_in_flight_, {});
     for (InFlight& sent : arriving) {
       std::optional<std::size_t> to = Find(sent.to);
-      bool lost = !to || !IsUp(*to) || cut_.contains(*to) || cut_.contains(sent.from) ||
-                  random_.Uniform() < drop;
+      bool lost = !to || !IsUp(*to) || isolated_.contains(*to) || isolated_.contains(sent.from) ||
+                  random_.Uniform() < drop_probability;
       if (lost) {
         continue;
       }
@@ -298,7 +299,7 @@
         continue;
       }
       replicas_[*to]->OnLogMessage(now_, disks_[sent.from].identity, sent.message);
-      Pump(*to);
+      ProcessReady(*to);
     }
   }
 
@@ -307,14 +308,14 @@
   std::vector<Disk> disks_;
   std::vector<std::unique_ptr<TurnReplica>> replicas_;
   std::set<std::size_t> up_;
-  std::set<std::size_t> cut_;
+  std::set<std::size_t> isolated_;
   std::vector<std::string> retiring_;
-  std::deque<InFlight> wire_;
+  std::deque<InFlight> messages_in_flight_;
   std::map<std::uint64_t, OperationResult> replies_;
   std::uint64_t last_request_ = 0;
 };
 
-Operation Keep(const std::string& turn, const std::string& text) {
+Operation MakeSettlement(const std::string& turn, const std::string& text) {
   SettleTurn settle;
   settle.program = ProgramId("p");
   settle.turn = TurnId(turn);
@@ -323,7 +324,7 @@
   return settle;
 }
 
-Operation GoOnFrom(const std::string& turn, const std::string& previous) {
+Operation MakeContinuation(const std::string& turn, const std::string& previous) {
   ReserveTurn reserve;
   reserve.program = ProgramId("q");
   reserve.turn = TurnId(turn);
@@ -333,87 +334,90 @@
   return reserve;
 }
 
-bool WaitUntilWhole(LedgerCluster& cluster, absl::Duration patience) {
-  for (absl::Time end = cluster.now() + patience; cluster.now() < end;) {
-    if (cluster.IsWhole()) {
+bool WaitUntilHealthy(LedgerCluster& cluster, absl::Duration timeout) {
+  for (absl::Time end = cluster.now() + timeout; cluster.now() < end;) {
+    if (cluster.IsHealthy()) {
       return true;
     }
     cluster.Run(absl::Milliseconds(50));
   }
-  return cluster.IsWhole();
+  return cluster.IsHealthy();
 }
 
-TEST(LedgerClusterTest, EveryDiskIsLostInTurnAndNothingKeptIsGone) {
+TEST(LedgerClusterTest, StoredTurnsSurviveTheLossOfEachDiskInTurn) {
   LedgerCluster cluster(3, 1);
-  ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(5)));
+  ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(5)));
   for (int round = 0; round < 9; ++round) {
     std::string turn = "t" + std::to_string(round);
-    ASSERT_TRUE(cluster.Do(Keep(turn, "said " + turn), absl::Seconds(5)).has_value());
+    ASSERT_TRUE(cluster.Submit(MakeSettlement(turn, "said " + turn), absl::Seconds(5)).has_value());
     cluster.Wipe(static_cast<std::size_t>(round % 3));
-    ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(4))) << "round " << round;
+    ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(4))) << "round " << round;
   }
   for (int round = 0; round < 9; ++round) {
     std::string turn = "t" + std::to_string(round);
-    auto result = cluster.Do(GoOnFrom("after " + turn, turn), absl::Seconds(5));
+    auto result = cluster.Submit(MakeContinuation("after " + turn, turn), absl::Seconds(5));
     ASSERT_TRUE(result.has_value());
     EXPECT_EQ(result->history, "said " + turn);
   }
 }
 
-TEST(LedgerClusterTest, MinorityThatMissedChangesAndAnEmptyDiskDoNotMakeAGroup) {
+TEST(LedgerClusterTest, StaleReplicaAndEmptyDiskDoNotFormAQuorum) {
   LedgerCluster cluster(3, 2);
-  ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(5)));
-  cluster.Cut(0);
+  ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(5)));
+  cluster.Isolate(0);
   cluster.Run(absl::Seconds(1));
-  ASSERT_TRUE(cluster.Do(Keep("late", "x"), absl::Seconds(5)).has_value());
-  cluster.Kill(1);  // Dark, with its disk.
+  ASSERT_TRUE(cluster.Submit(MakeSettlement("late", "x"), absl::Seconds(5)).has_value());
+  cluster.Kill(1);  // Down, with its disk.
   cluster.Wipe(2);
   cluster.Heal();
   cluster.Run(absl::Seconds(5));
-  EXPECT_EQ(cluster.Leader(), nullptr) << "0 is behind and 2 is empty: they must wait for 1";
+  EXPECT_EQ(cluster.Leader(), nullptr)
+      << "machine 0 is behind and 2 is empty, so they must wait for 1";
   cluster.Start(1);
-  ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(6)));
-  auto result = cluster.Do(GoOnFrom("next", "late"), absl::Seconds(5));
+  ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(6)));
+  auto result = cluster.Submit(MakeContinuation("next", "late"), absl::Seconds(5));
   ASSERT_TRUE(result.has_value());
   EXPECT_EQ(result->history, "x");
 }
 
-TEST(LedgerClusterTest, AllProcessesKilledAtOnceServeAgainSoon) {
+TEST(LedgerClusterTest, GroupRecoversSoonAfterAllProcessesAreKilled) {
   LedgerCluster cluster(3, 3);
-  ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(5)));
-  ASSERT_TRUE(cluster.Do(Keep("t", "x"), absl::Seconds(5)).has_value());
+  ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(5)));
+  ASSERT_TRUE(cluster.Submit(MakeSettlement("t", "x"), absl::Seconds(5)).has_value());
   for (std::size_t number = 0; number < 3; ++number) {
     cluster.Kill(number);
   }
   for (std::size_t number = 0; number < 3; ++number) {
     cluster.Start(number);
   }
-  EXPECT_TRUE(cluster.Do(GoOnFrom("next", "t"), absl::Seconds(1)).has_value());
+  EXPECT_TRUE(cluster.Submit(MakeContinuation("next", "t"), absl::Seconds(1)).has_value());
 }
 
-TEST(LedgerClusterTest, EmptiedMachineIsReplacedByTheSpareAndMayThenGo) {
+TEST(LedgerClusterTest, RetiringMachineIsReplacedByTheSpareAndCanThenBeRemoved) {
   LedgerCluster cluster(4, 4);
-  ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(5)));
-  ASSERT_TRUE(cluster.Do(Keep("t", "x"), absl::Seconds(5)).has_value());
+  ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(5)));
+  ASSERT_TRUE(cluster.Submit(MakeSettlement("t", "x"), absl::Seconds(5)).has_value());
   cluster.SetRetiring({cluster.NameOf(1)});
-  bool may_go = false;
-  for (int step = 0; step < 100 && !may_go; ++step) {
+  bool can_be_removed = false;
+  for (int step = 0; step < 100 && !can_be_removed; ++step) {
     cluster.Run(absl::Milliseconds(50));
-    may_go = cluster.Leader() != nullptr && cluster.Leader()->CanRemoveMachine(cluster.NameOf(1));
+    can_be_removed =
+        cluster.Leader() != nullptr && cluster.Leader()->CanRemoveMachine(cluster.NameOf(1));
   }
-  ASSERT_TRUE(may_go);
+  ASSERT_TRUE(can_be_removed);
   cluster.Kill(1);
-  cluster.Wipe(2);  // Right after: the rest must hold everything.
-  ASSERT_TRUE(WaitUntilWhole(cluster, absl::Seconds(5)));
-  EXPECT_EQ(cluster.Do(GoOnFrom("next", "t"), absl::Seconds(5))->history, "x");
+  cluster.Wipe(2);  // The others must hold all data.
+  ASSERT_TRUE(WaitUntilHealthy(cluster, absl::Seconds(5)));
+  EXPECT_EQ(cluster.Submit(MakeContinuation("next", "t"), absl::Seconds(5))->history, "x");
 }
 
-RC_GTEST_PROP(LedgerClusterPropertyTest, AcknowledgedTurnsAndBudgetsSurviveAnyHistory, ()) {
+RC_GTEST_PROP(LedgerClusterPropertyTest, AcknowledgedTurnsAndBudgetsSurviveAnySequenceOfFaults,
+              ()) {
   constexpr std::uint64_t kBudget = 200;
   auto seed = *rc::gen::arbitrary<std::uint64_t>();
   auto machines = *rc::gen::inRange<std::size_t>(3, 5);
   LedgerCluster cluster(machines, seed);
-  cluster.drop = 0.01 * *rc::gen::inRange(0, 4);
+  cluster.drop_probability = 0.01 * *rc::gen::inRange(0, 4);
   std::set<std::string> kept;
   std::uint64_t granted = 0;
   auto steps = *rc::gen::inRange(4, 14);
@@ -421,8 +425,8 @@
     auto number = *rc::gen::inRange<std::size_t>(0, machines);
     switch (*rc::gen::inRange(0, 6)) {
       case 0:
-        // One disk at a time, as the deployment says: the next only when all are whole again.
-        if (WaitUntilWhole(cluster, absl::Seconds(8))) {
+        // At most one disk is lost at a time, as the deployment requires.
+        if (WaitUntilHealthy(cluster, absl::Seconds(8))) {
           cluster.Wipe(number);
         }
         break;
@@ -430,7 +434,7 @@
         cluster.Kill(number);
         break;
       case 2:
-        cluster.Cut(number);
+        cluster.Isolate(number);
         break;
       case 3:
         for (std::size_t each = 0; each < machines; ++each) {
@@ -442,7 +446,7 @@
         break;
     }
     std::string turn = "t" + std::to_string(step);
-    if (cluster.Do(Keep(turn, turn), absl::Milliseconds(400))) {
+    if (cluster.Submit(MakeSettlement(turn, turn), absl::Milliseconds(400))) {
       kept.insert(turn);
     }
     ReserveTurn reserve;
@@ -451,7 +455,7 @@
     reserve.tokens = 60;
     reserve.budget = kBudget;
     reserve.retention_ms = kRetention;
-    auto result = cluster.Do(reserve, absl::Milliseconds(400));
+    auto result = cluster.Submit(reserve, absl::Milliseconds(400));
     granted += result && result->verdict == Verdict::kDone ? reserve.tokens : 0;
     RC_ASSERT(granted <= kBudget);
     cluster.Heal();
@@ -462,12 +466,12 @@
     }
     cluster.Run(absl::Milliseconds(*rc::gen::inRange(0, 600)));
   }
-  cluster.drop = 0.0;
-  bool whole = WaitUntilWhole(cluster, absl::Seconds(10));
+  cluster.drop_probability = 0.0;
+  bool healthy = WaitUntilHealthy(cluster, absl::Seconds(10));
   RC_LOG() << cluster.Describe();
-  RC_ASSERT(whole);
+  RC_ASSERT(healthy);
   for (const std::string& turn : kept) {
-    auto result = cluster.Do(GoOnFrom("after " + turn, turn), absl::Seconds(5));
+    auto result = cluster.Submit(MakeContinuation("after " + turn, turn), absl::Seconds(5));
     RC_ASSERT(result.has_value());
     RC_ASSERT(result->history == turn);
   }
--- a/tests/turn_ledger/membership_planner_test.cc
+++ b/tests/turn_ledger/membership_planner_test.cc
@@ -24,23 +24,23 @@
   return view;
 }
 
-TEST(MembershipPlannerTest, SoundGroupIsLeftAlone) {
+TEST(MembershipPlannerTest, HealthyGroupIsNotChanged) {
   GroupView view = ThreeVoters();
   view.machines.push_back(MakeMachine(4, "d"));
   EXPECT_FALSE(PlanMembership(view, {}).has_value());
 }
 
-TEST(MembershipPlannerTest, WipedMachineLearnsVotesAndReplacesItsOldIdentity) {
+TEST(MembershipPlannerTest, WipedMachineJoinsAsLearnerAndReplacesItsFormerIdentity) {
   GroupView view = ThreeVoters();
-  view.machines[2] = MakeMachine(30, "c");  // Machine 3's disk is gone: identity 3 is no more.
+  view.machines[2] = MakeMachine(30, "c");  // Machine 3 lost its disk and identity 3.
   view.machines[2].match = 0;
   auto step = PlanMembership(view, {});
   ASSERT_TRUE(step.has_value());
   EXPECT_TRUE(step->IsLearner(NodeId(30)));
-  EXPECT_EQ(step->voters.size(), 3U) << "the old vote goes last";
+  EXPECT_EQ(step->voters.size(), 3U) << "the former identity is removed last";
 
   view.configuration = *step;
-  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "it has nothing of the log yet";
+  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "the learner has no log entries yet";
   view.machines[2].match = 99;
   step = PlanMembership(view, {});
   ASSERT_TRUE(step.has_value());
@@ -56,13 +56,13 @@
   EXPECT_FALSE(PlanMembership(view, {}).has_value());
 }
 
-TEST(MembershipPlannerTest, NewLeaderRemovesNobodyBeforeAllHaveAnsweredIt) {
-  // A leader that had just started didn't know that identity 3 was its own lost disk, and removed a
-  // live voter in its place: with one more machine frozen, the group had no quorum.
+TEST(MembershipPlannerTest, NewLeaderRemovesNoVoterBeforeAllHaveReplied) {
+  // Guards against removing a live voter while the identity of a lost disk still counts as healthy,
+  // which costs the group its quorum once another machine fails.
   GroupView view = ThreeVoters();
   view.configuration.voters.push_back(NodeId(4));
   view.machines.push_back(MakeMachine(4, "c"));
-  view.machines[2].match = 0;  // Identity 3 has not answered.
+  view.machines[2].match = 0;  // Identity 3 has not replied.
   EXPECT_FALSE(PlanMembership(view, {}).has_value());
   view.machines[2].time_since_contact = absl::Seconds(2);
   auto step = PlanMembership(view, {});
@@ -71,29 +71,29 @@
   EXPECT_EQ(step->voters.size(), 3U);
 
   view.machines[2].time_since_contact = absl::Milliseconds(400);
-  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "a known machine gets longer";
+  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "a known machine has a longer timeout";
   view.machines[2].present = false;
-  EXPECT_TRUE(PlanMembership(view, {}).has_value()) << "an identity that no machine has";
+  EXPECT_TRUE(PlanMembership(view, {}).has_value()) << "an identity without a machine";
 
   view.machines[2].time_since_contact = absl::ZeroDuration();
   view.machines[1].retiring = true;
-  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "2 still serves; 3 may be gone";
+  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "2 is still up; 3 may be a lost identity";
 }
 
-TEST(MembershipPlannerTest, SilentVoterIsReplacedOnlyByALiveSpare) {
+TEST(MembershipPlannerTest, UnreachableVoterIsReplacedOnlyByALiveSpare) {
   GroupView view = ThreeVoters();
   view.machines[1].time_since_contact = absl::Seconds(10);
-  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "nobody could step in";
+  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "there is no spare";
   view.machines.push_back(MakeMachine(4, "b"));
   view.machines[3].time_since_contact = absl::Seconds(5);
-  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "the spare is silent too";
+  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "the spare is unreachable too";
   view.machines[3].time_since_contact = absl::ZeroDuration();
   auto step = PlanMembership(view, {});
   ASSERT_TRUE(step.has_value());
   EXPECT_TRUE(step->IsLearner(NodeId(4)));
 }
 
-TEST(MembershipPlannerTest, SpareOfAnUncoveredZoneGoesFirst) {
+TEST(MembershipPlannerTest, SpareInAnUncoveredZoneIsPreferred) {
   GroupView view = ThreeVoters();
   view.machines[1].time_since_contact = absl::Seconds(10);
   view.machines.push_back(MakeMachine(4, "a"));
@@ -103,7 +103,7 @@
   EXPECT_TRUE(step->IsLearner(NodeId(5)));
 }
 
-TEST(MembershipPlannerTest, LearnerIsDroppedWhenTheOldVoterIsBack) {
+TEST(MembershipPlannerTest, LearnerIsRemovedWhenTheVoterReturns) {
   GroupView view = ThreeVoters();
   view.machines.push_back(MakeMachine(4, "b"));
   view.configuration.learners = {NodeId(4)};
@@ -113,11 +113,11 @@
   EXPECT_EQ(step->voters.size(), 3U);
 }
 
-TEST(MembershipPlannerTest, EmptiedMachineMayGoOnlyWhenOthersHoldAsMany) {
+TEST(MembershipPlannerTest, RetiringMachineCanBeRemovedOnlyWhenOthersHoldEnoughReplicas) {
   GroupView view = ThreeVoters();
   view.machines[1].retiring = true;
   EXPECT_FALSE(CanRemoveMachine(view, "m2", {}));
-  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "no spare: it must stay";
+  EXPECT_FALSE(PlanMembership(view, {}).has_value()) << "no spare can replace it";
   view.machines.push_back(MakeMachine(4, "b"));
   view.configuration.voters.push_back(NodeId(4));
   EXPECT_FALSE(CanRemoveMachine(view, "m2", {})) << "it still votes";
@@ -127,10 +127,10 @@
   view.configuration = *step;
   EXPECT_TRUE(CanRemoveMachine(view, "m2", {}));
   view.machines[2].time_since_contact = absl::Seconds(10);
-  EXPECT_FALSE(CanRemoveMachine(view, "m2", {})) << "a holder of the rest is silent";
+  EXPECT_FALSE(CanRemoveMachine(view, "m2", {})) << "another replica is unreachable";
 }
 
-TEST(MembershipPlannerTest, LeaderThatIsToBeEmptiedRemovesItselfLast) {
+TEST(MembershipPlannerTest, RetiringLeaderRemovesItselfLast) {
   GroupView view = ThreeVoters();
   view.machines[0].retiring = true;
   view.machines.push_back(MakeMachine(4, "a"));
@@ -140,7 +140,7 @@
   EXPECT_FALSE(step->IsVoter(NodeId(1)));
 }
 
-TEST(MembershipPlannerTest, SmallGroupGrowsAsMachinesCome) {
+TEST(MembershipPlannerTest, SmallGroupGrowsAsMachinesJoin) {
   GroupView view;
   view.leader = NodeId(1);
   view.configuration.voters = {NodeId(1)};
--- a/tests/turn_ledger/snapshot_transfer_test.cc
+++ b/tests/turn_ledger/snapshot_transfer_test.cc
@@ -1,4 +1,4 @@
-// A snapshot's way to a replica that lost its disk or missed much: entries first, then the
+// Transfer of a snapshot to a replica that lost its disk or is far behind: entries first, then the
 // snapshot.
 #include "turn_ledger/transfer/snapshot_transfer.h"
 
@@ -13,7 +13,7 @@
 
 const NodeId kMember{3};
 
-consensus::SnapshotRequest RequestNaming(const std::vector<consensus::LogIndex>& indexes) {
+consensus::SnapshotRequest RequestReferencing(const std::vector<consensus::LogIndex>& indexes) {
   state_image image;
   for (consensus::LogIndex index : indexes) {
     kept_turn turn;
@@ -33,7 +33,7 @@
   return consensus::Entry{entry.term, entry.index, consensus::EntryKind::kCommand, "0123456789"};
 }
 
-/// All parts; the snapshot must be the last one and the only one.
+/// @return all parts but the last one, which must be the only one with the snapshot.
 std::vector<consensus::StagedEntries> PartsOf(snapshot_transfer& transfer, std::size_t max_bytes,
                                               const EntryReader& read) {
   std::vector<consensus::StagedEntries> parts;
@@ -49,8 +49,8 @@
   return parts;
 }
 
-TEST(SnapshotTransferTest, EntriesGoAheadInSmallParts) {
-  snapshot_transfer transfer(kMember, RequestNaming({7, 5, 9, 30, 11}), 0);
+TEST(SnapshotTransferTest, EntriesAreSentFirstInSmallParts) {
+  snapshot_transfer transfer(kMember, RequestReferencing({7, 5, 9, 30, 11}), 0);
   auto parts = PartsOf(transfer, 20, Read);
   ASSERT_EQ(parts.size(), 3U);
   EXPECT_EQ(parts[0].entries.size(), 2U);
@@ -58,16 +58,16 @@
   EXPECT_EQ(parts[2].entries[0].index, 30U);
 }
 
-TEST(SnapshotTransferTest, WhatTheMemberHasIsNotSentAgain) {
-  snapshot_transfer transfer(kMember, RequestNaming({5, 7, 9, 30}), 9);
+TEST(SnapshotTransferTest, EntriesThatTheMemberHasAreNotSent) {
+  snapshot_transfer transfer(kMember, RequestReferencing({5, 7, 9, 30}), 9);
   auto parts = PartsOf(transfer, 1000, Read);
   ASSERT_EQ(parts.size(), 1U);
   ASSERT_EQ(parts[0].entries.size(), 1U);
   EXPECT_EQ(parts[0].entries[0].index, 30U);
 }
 
-TEST(SnapshotTransferTest, ExpiredEntryIsSentEmptySoThatNothingWaitsForIt) {
-  snapshot_transfer transfer(kMember, RequestNaming({5, 7}), 0);
+TEST(SnapshotTransferTest, ExpiredEntryIsSentEmpty) {
+  snapshot_transfer transfer(kMember, RequestReferencing({5, 7}), 0);
   auto parts = PartsOf(transfer, 1000, [](consensus::EntryId entry) {
     return entry.index == 5 ? std::nullopt : Read(entry);
   });
--- a/tests/turn_ledger/turn_replica_test.cc
+++ b/tests/turn_ledger/turn_replica_test.cc
@@ -1,4 +1,4 @@
-// A single replica: snapshots of a large state, step by step, while it goes on answering.
+// A single replica: snapshots taken in steps, admission of requests, and knowledge of machines.
 #include "turn_ledger/turn_replica.h"
 
 #include <gtest/gtest.h>
@@ -10,10 +10,10 @@
 
 const wire::Endpoint kGateway{"10.0.0.99", 1};
 const NodeId kSelf{7};
-constexpr std::size_t kStepBytes = 1000;  // Of an image that holds no texts.
+constexpr std::size_t kStepBytes = 1000;  // Images contain no texts.
 constexpr std::size_t kTurnBytes = 1000;
 
-Operation Keep(int number) {
+Operation MakeSettlement(int number) {
   SettleTurn settle;
   settle.program = ProgramId("p" + std::to_string(number));
   settle.turn = TurnId("t" + std::to_string(number));
@@ -37,11 +37,11 @@
     for (int step = 0; step < 200 && !replica_->IsCurrentLeader(); ++step) {
       now_ += absl::Milliseconds(20);
       replica_->Tick(now_);
-      Pump();
+      ProcessReady();
     }
   }
 
-  void Pump() {
+  void ProcessReady() {
     while (replica_->HasWork()) {
       consensus::Ready ready = replica_->TakeReady();
       storage::GroupWrite write;
@@ -55,9 +55,10 @@
     }
   }
 
-  void Do(int number) {
-    replica_->OnRequest(now_, kGateway, {static_cast<std::uint64_t>(number), Keep(number)});
-    Pump();
+  void Submit(int number) {
+    replica_->OnRequest(now_, kGateway,
+                        {static_cast<std::uint64_t>(number), MakeSettlement(number)});
+    ProcessReady();
   }
 
   absl::Time now_ = absl::FromUnixSeconds(1000);
@@ -66,14 +67,13 @@
   int answered_ = 0;
 };
 
-TEST_F(TurnReplicaTest, LargeStateIsStoredInSmallStepsAndRequestsAreAnsweredBetweenThem) {
-  // A snapshot taken at one go stopped every replica for a second, all at the same entry of the
-  // log.
+TEST_F(TurnReplicaTest, LargeSnapshotIsTakenInStepsAndRequestsAreServedBetweenThem) {
+  // Guards against stalling all replicas at the same log entry to encode a snapshot.
   ASSERT_TRUE(replica_->IsCurrentLeader());
   int number = 0;
   std::optional<SnapshotStep> step;
   while (!step && number < 1000) {
-    Do(++number);
+    Submit(++number);
     step = replica_->NextSnapshotStep(kStepBytes);
   }
   ASSERT_TRUE(step.has_value());
@@ -86,7 +86,7 @@
     EXPECT_LE(step->part.size(), 2 * kStepBytes);
     data += step->part;
     int before = answered_;
-    Do(++number);
+    Submit(++number);
     EXPECT_EQ(answered_, before + 1) << "a request between two steps";
     if (step->finished) {
       EXPECT_EQ(step->finished->index, begun_at);
@@ -97,35 +97,37 @@
   EXPECT_GT(steps, 5);
   replica_->FinishSnapshot();
   EXPECT_EQ(replica_->raft().snapshot_index(), begun_at);
-  EXPECT_EQ(replica_->raft().log_size(), static_cast<std::size_t>(steps)) << "entries since";
+  EXPECT_EQ(replica_->raft().log_size(), static_cast<std::size_t>(steps))
+      << "entries since the snapshot";
 
   TurnState restored([](consensus::EntryId) { return std::optional<consensus::Entry>(); });
   ASSERT_TRUE(restored.Restore(data));
-  EXPECT_EQ(restored.turns(), static_cast<std::size_t>(number - steps)) << "as it was captured";
+  EXPECT_EQ(restored.turns(), static_cast<std::size_t>(number - steps))
+      << "the state when it was captured";
 }
 
-TEST_F(TurnReplicaTest, SnapshotThatIsNotStoredYetDropsNothing) {
+TEST_F(TurnReplicaTest, UnfinishedSnapshotTruncatesNothing) {
   int number = 0;
   while (number < 1000 && !replica_->NextSnapshotStep(kStepBytes)) {
-    Do(++number);
+    Submit(++number);
   }
-  replica_->FinishSnapshot();  // Not its last step: it must be ignored.
+  replica_->FinishSnapshot();  // Not the last step: must be ignored.
   EXPECT_EQ(replica_->raft().snapshot_index(), 0U);
   EXPECT_GE(replica_->raft().log_size(), static_cast<std::size_t>(number));
 }
 
-TEST_F(TurnReplicaTest, SnapshotWithAMissingEntryIsPassedOverAndTakenOnceItIsThere) {
-  // Parts sent ahead of a snapshot can be lost; a replica that took it all the same would have
-  // turns without texts, and would count as one that has them.
+TEST_F(TurnReplicaTest, SnapshotWithAMissingEntryIsIgnoredUntilTheEntryArrives) {
+  // Entries sent ahead of a snapshot can be lost. Installing it without them would leave turns
+  // without texts on a replica that counts as complete.
   for (int number = 1; number <= 5; ++number) {
-    Do(number);
+    Submit(number);
   }
   consensus::SnapshotRequest request;
   request.term = replica_->raft().term() + 1;
   state_image_encoder image(replica_->state().Capture());
   request.snapshot = {500, request.term, replica_->raft().configuration(), image.next(100000)};
-  std::vector<consensus::EntryId> named = entries_of(request.snapshot);
-  ASSERT_EQ(named.size(), 5U);
+  std::vector<consensus::EntryId> referenced = entries_of(request.snapshot);
+  ASSERT_EQ(referenced.size(), 5U);
 
   Machine self{"learner", NodeId(8), {"10.0.0.2", 1}, ZoneName("z")};
   auto disk = storage::CreateMemoryLogStore(true);
@@ -134,7 +136,7 @@
       [&](consensus::EntryId entry) { return *disk->ReadEntry(GroupId(1), entry); }, 1, now_);
   auto stage = [&](std::size_t from, std::size_t to) {
     for (std::size_t at = from; at < to; ++at) {
-      disk->StageEntry(GroupId(1), **disk_->ReadEntry(GroupId(1), named[at]));
+      disk->StageEntry(GroupId(1), **disk_->ReadEntry(GroupId(1), referenced[at]));
     }
   };
   stage(0, 4);
@@ -150,21 +152,21 @@
   EXPECT_EQ(reply.m_text, std::string(kTurnBytes, 'x'));
 }
 
-TEST_F(TurnReplicaTest, FullMachineRefusesReservationsAndTakesSettlements) {
+TEST_F(TurnReplicaTest, FullDiskRefusesReservationsAndAcceptsSettlements) {
   replica_->SetDiskFull(true);
   replica_->OnRequest(now_, kGateway, {1, ReserveTurn{}});
   std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.status, ReplyStatus::kOverloaded);
-  Do(2);
+  Submit(2);
   EXPECT_EQ(answered_, 1) << "a settlement";
   replica_->SetDiskFull(false);
   replica_->OnRequest(now_, kGateway, {3, ReserveTurn{}});
-  Pump();
+  ProcessReady();
   EXPECT_EQ(answered_, 2);
 }
 
-TEST_F(TurnReplicaTest, ProbeIsAnsweredAtOnceAndLeavesNoEntry) {
+TEST_F(TurnReplicaTest, ProbeIsAnsweredWithoutALogEntry) {
   consensus::LogIndex before = replica_->raft().last_index();
   replica_->OnRequest(now_, kGateway, {1, Probe{}});
   std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
@@ -173,8 +175,8 @@
   EXPECT_EQ(replica_->raft().last_index(), before);
 }
 
-TEST_F(TurnReplicaTest, ReservationsAreRefusedWhileTheLogLagsAndSettlementsAreNot) {
-  // A disk that stalls: what is proposed is not stored.
+TEST_F(TurnReplicaTest, ReservationsAreRefusedWhileCommitsLagAndSettlementsAreNot) {
+  // Simulates a stalled disk: proposals are not stored.
   auto ask = [&](std::uint64_t request, const Operation& operation) {
     replica_->OnRequest(now_, kGateway, {request, operation});
     std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
@@ -183,45 +185,45 @@
   ReserveTurn reserve;
   reserve.program = ProgramId("p");
   reserve.turn = TurnId("t");
-  EXPECT_EQ(ask(1, reserve), std::nullopt) << "taken up";
+  EXPECT_EQ(ask(1, reserve), std::nullopt) << "accepted";
   now_ += absl::Seconds(1);
   EXPECT_EQ(ask(2, reserve), ReplyStatus::kOverloaded);
-  EXPECT_EQ(ask(3, Keep(3)), std::nullopt) << "what ended must be charged";
-  Pump();
-  EXPECT_EQ(ask(4, reserve), std::nullopt) << "the log moves again";
+  EXPECT_EQ(ask(3, MakeSettlement(3)), std::nullopt) << "used tokens must be charged";
+  ProcessReady();
+  EXPECT_EQ(ask(4, reserve), std::nullopt) << "commits proceed again";
 }
 
-TEST_F(TurnReplicaTest, StaleNewsOfAMachineNeverGoesBeforeItsOwnWord) {
-  // After a restart the store's old record of a machine came first; its present identity then
-  // counted as gone for ever, and the machine was never made a replica again.
-  const NodeId present{20};
+TEST_F(TurnReplicaTest, OutdatedReportNeverReplacesASelfReportedIdentity) {
+  // Guards against an outdated directory record superseding a machine's current identity, after
+  // which the machine would never be made a replica again.
+  const NodeId current{20};
   const NodeId lost{10};
-  replica_->UpdateMachine(now_, {"other", present, {"10.0.0.2", 1}, ZoneName("y")},
+  replica_->UpdateMachine(now_, {"other", current, {"10.0.0.2", 1}, ZoneName("y")},
                           /*self_reported=*/false);
   replica_->UpdateMachine(now_, {"other", lost, {"10.0.0.2", 1}, ZoneName("y")},
                           /*self_reported=*/false);
-  EXPECT_TRUE(replica_->machines().contains(present));
+  EXPECT_TRUE(replica_->machines().contains(current));
   replica_->UpdateMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")},
                           /*self_reported=*/false);
   replica_->UpdateMachine(now_, {"third", NodeId(30), {"10.0.0.3", 1}, ZoneName("x")});
   EXPECT_FALSE(replica_->machines().contains(lost));
   replica_->UpdateMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")},
                           /*self_reported=*/false);
-  EXPECT_TRUE(replica_->machines().contains(NodeId(30))) << "old news";
+  EXPECT_TRUE(replica_->machines().contains(NodeId(30))) << "outdated report";
   replica_->UpdateMachine(now_, {"third", lost, {"10.0.0.3", 1}, ZoneName("x")});
-  EXPECT_TRUE(replica_->machines().contains(lost)) << "its own word";
+  EXPECT_TRUE(replica_->machines().contains(lost)) << "self-reported";
 }
 
-TEST_F(TurnReplicaTest, RequestAskedAgainWhileItIsUnderWayIsProposedOnce) {
-  // Every impatient repetition once became an entry of its own: a slow group grew slower by them.
+TEST_F(TurnReplicaTest, RetryOfAPendingRequestIsProposedOnce) {
+  // Guards against retries adding log entries, which slow down a group that is already slow.
   consensus::LogIndex before = replica_->raft().last_index();
   for (int repetition = 0; repetition < 5; ++repetition) {
-    replica_->OnRequest(now_, kGateway, {1, Keep(1)});
+    replica_->OnRequest(now_, kGateway, {1, MakeSettlement(1)});
   }
   EXPECT_EQ(replica_->raft().last_index(), before + 1);
-  Pump();
+  ProcessReady();
   EXPECT_EQ(answered_, 1);
-  Do(1);  // Answered before: its reply may have been lost.
+  Submit(1);  // A retry after the reply, which may have been lost.
   EXPECT_EQ(answered_, 2);
 }
 
--- a/tests/turn_ledger/turn_state_test.cc
+++ b/tests/turn_ledger/turn_state_test.cc
@@ -46,13 +46,13 @@
   return command;
 }
 
-Command GoOnFrom(const std::string& turn, const std::string& previous, LedgerMillis at = 1000) {
+Command ContinueFrom(const std::string& turn, const std::string& previous, LedgerMillis at = 1000) {
   Command command = Reserve(turn, 1, 1000000, at);
   std::get<ReserveTurn>(command.operation).previous = TurnId(previous);
   return command;
 }
 
-/// A state with the log that it reads texts from. Copies and restored states share the log.
+/// A state and the log that contains its texts. Restored states share the log.
 class LoggedState {
  public:
   LoggedState() : LoggedState(std::make_shared<Log>()) {}
@@ -65,12 +65,12 @@
     log_->push_back({1, log_->size() + 1, consensus::EntryKind::kCommand, wire::Encode(command)});
     return state_.Apply(command, {log_->back().index, 1}, /*with_history=*/true);
   }
-  /// The command's entry is there already.
+  /// Applies a command that is already in the log.
   OperationResult ApplyLast(const Command& command) {
     return state_.Apply(command, {log_->back().index, 1}, /*with_history=*/true);
   }
   chain_reply ReadChain(const chain_request& request) const { return state_.ReadChain(request); }
-  /// The disk loses an entry.
+  /// Makes a log entry unreadable.
   void Lose(consensus::LogIndex index) { (*log_)[index - 1].payload.clear(); }
   const TurnState& state() const { return state_; }
   TurnState& state() { return state_; }
@@ -79,15 +79,15 @@
   using Log = std::vector<consensus::Entry>;
 
   explicit LoggedState(std::shared_ptr<Log> log)
-      : log_(std::move(log)), state_([book = log_](consensus::EntryId entry) {
-          return std::make_optional((*book)[entry.index - 1]);
+      : log_(std::move(log)), state_([entries = log_](consensus::EntryId entry) {
+          return std::make_optional((*entries)[entry.index - 1]);
         }) {}
 
   std::shared_ptr<Log> log_;
   TurnState state_;
 };
 
-/// The state's image, in parts so small that most states have several.
+/// The state's image, encoded in small parts so that most states have several.
 std::string Encoded(const TurnState& state) {
   constexpr std::size_t kPartBytes = 200;
   state_image_encoder encoder(state.Capture());
@@ -98,7 +98,7 @@
   return parts;
 }
 
-TEST(TurnStateTest, ChainIsToldFromTheTurnThatTheRequesterHoldsOn) {
+TEST(TurnStateTest, ChainIsReadFromAfterTheTurnThatTheRequesterHas) {
   LoggedState state;
   state.Apply(Complete("one", "a", "b"));
   state.Apply(Complete("two", "c", "d", "one"));
@@ -110,9 +110,9 @@
   chain_reply after = read("three", TurnId("one"));
   EXPECT_TRUE(after.m_after_known);
   EXPECT_EQ(after.m_text, "cdef");
-  chain_reply elsewhere = read("three", TurnId("not an ancestor"));
-  EXPECT_FALSE(elsewhere.m_after_known);
-  EXPECT_EQ(elsewhere.m_text, "abcdef");
+  chain_reply unrelated = read("three", TurnId("not an ancestor"));
+  EXPECT_FALSE(unrelated.m_after_known);
+  EXPECT_EQ(unrelated.m_text, "abcdef");
   EXPECT_FALSE(read("four", std::nullopt).m_found);
 }
 
@@ -133,7 +133,7 @@
   EXPECT_EQ(state.Apply(Settle("a", 10)).reserved, 0U);
 }
 
-TEST(TurnStateTest, ReservationThatArrivesAfterItWasGivenUpIsRefused) {
+TEST(TurnStateTest, ReservationOfASettledTurnIsRefused) {
   LoggedState state;
   state.Apply(Settle("a", 0));
   EXPECT_EQ(state.Apply(Reserve("a", 60, 100)).verdict, Verdict::kAlreadySettled);
@@ -146,43 +146,44 @@
   EXPECT_EQ(state.Apply(Settle("a", 30)).spent, 30U);
 }
 
-TEST(TurnStateTest, ChainIsGivenOldestFirstWithOutputs) {
+TEST(TurnStateTest, ChainIsReturnedOldestFirstWithOutputs) {
   LoggedState state;
   state.Apply(Complete("one", "in1|", "out1\n"));
   state.Apply(Complete("two", "in2|", "out2\n", "one"));
   state.Apply(Complete("other", "inX|", "outX\n", "one"));
-  EXPECT_EQ(state.Apply(GoOnFrom("three", "two")).history, "in1|out1\nin2|out2\n");
-  EXPECT_EQ(state.Apply(GoOnFrom("four", "other")).history, "in1|out1\ninX|outX\n");
-  EXPECT_EQ(state.Apply(GoOnFrom("five", "nothing")).verdict, Verdict::kUnknownPrevious);
+  EXPECT_EQ(state.Apply(ContinueFrom("three", "two")).history, "in1|out1\nin2|out2\n");
+  EXPECT_EQ(state.Apply(ContinueFrom("four", "other")).history, "in1|out1\ninX|outX\n");
+  EXPECT_EQ(state.Apply(ContinueFrom("five", "nothing")).verdict, Verdict::kUnknownPrevious);
 }
 
-TEST(TurnStateTest, ChainWithAnUnreadableEntryIsNotToldInPart) {
+TEST(TurnStateTest, ChainWithAnUnreadableEntryIsNotReturnedInPart) {
   LoggedState state;
   state.Apply(Complete("one", "a", "b"));
   state.Apply(Complete("two", "c", "d", "one"));
   state.Lose(1);
-  OperationResult result = state.Apply(GoOnFrom("three", "two"));
-  EXPECT_EQ(result.verdict, Verdict::kDone) << "all replicas decide alike, whatever they can read";
+  OperationResult result = state.Apply(ContinueFrom("three", "two"));
+  EXPECT_EQ(result.verdict, Verdict::kDone)
+      << "the verdict must not depend on which entries a replica can read";
   EXPECT_TRUE(result.history_missing);
   EXPECT_EQ(result.history, "");
   EXPECT_FALSE(state.ReadChain({1, GroupId(1), TurnId("two"), std::nullopt}).m_found);
   EXPECT_EQ(state.ReadChain({1, GroupId(1), TurnId("two"), TurnId("one")}).m_text, "cd")
-      << "what the requester holds needn't be read";
+      << "entries that the requester has are not read";
 }
 
-TEST(TurnStateTest, UseOfATurnKeepsItsWholeChain) {
+TEST(TurnStateTest, UseOfATurnExtendsTheRetentionOfItsChain) {
   LoggedState state;
   state.Apply(Complete("one", "a", "b", "", 0));
   state.Apply(Complete("two", "c", "d", "one", 50000));
-  // "one" alone would be over by now; "two" is not, and needs it.
-  EXPECT_EQ(state.Apply(GoOnFrom("three", "two", 105000)).history, "abcd");
+  // "one" would have expired by now if "two" did not continue it.
+  EXPECT_EQ(state.Apply(ContinueFrom("three", "two", 105000)).history, "abcd");
   state.Apply(Settle("far", 0, 400000));
   EXPECT_EQ(state.state().turns(), 0U);
   EXPECT_EQ(state.state().turn_bytes(), 0U);
   EXPECT_THAT(state.state().TakeExpiredEntries(), ::testing::UnorderedElementsAre(1U, 2U));
 }
 
-RC_GTEST_PROP(TurnStatePropertyTest, NeverOverGrantsAndSnapshotsAreEqual, ()) {
+RC_GTEST_PROP(TurnStatePropertyTest, NeverExceedsTheBudgetAndRestoresEqualStates, ()) {
   LoggedState state;
   auto copy = std::make_unique<LoggedState>(state, Encoded(state.state()));
   std::map<std::string, std::uint64_t> granted;
@@ -202,17 +203,17 @@
         granted.emplace(turn, tokens);
       }
     } else {
-      // A turn delivers at most what it was granted.
+      // A turn delivers at most its granted tokens.
       std::uint64_t tokens = granted.contains(turn) ? granted[turn] / 2 : 0;
       delivered += settled.insert(turn).second ? tokens : 0;
       state.Apply(Settle(turn, tokens));
       copy->ApplyLast(Settle(turn, tokens));
     }
-    std::uint64_t open = 0;
+    std::uint64_t outstanding = 0;
     for (const auto& [id, tokens] : granted) {
-      open += settled.contains(id) ? 0 : tokens;
+      outstanding += settled.contains(id) ? 0 : tokens;
     }
-    RC_ASSERT(delivered + open <= kBudget);
+    RC_ASSERT(delivered + outstanding <= kBudget);
     copy = std::make_unique<LoggedState>(state, Encoded(state.state()));
     RC_ASSERT(Encoded(copy->state()) == Encoded(state.state()));
   }
