--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -20,11 +20,11 @@
 }  // namespace
 
 TurnReplica::TurnReplica(const Machine& self, const ReplicaOptions& options,
-                         consensus::RestoredState restored, EntryReader read_stored,
+                         consensus::RestoredState restored, EntryReader read_stored_entry,
                          std::uint64_t seed, absl::Time now)
     : self_(self),
       options_(options),
-      read_stored_(std::move(read_stored)),
+      read_stored_entry_(std::move(read_stored_entry)),
       raft_(self.identity, options.raft, restored, seed, now),
       state_([this](consensus::EntryId entry) { return ReadEntry(entry); }),
       now_(now),
@@ -84,11 +84,11 @@
       continue;
     }
     superseded_.insert(known->first);
-    last_heard_.erase(known->first);
+    last_contact_.erase(known->first);
     known = machines_.erase(known);
   }
   machines_[machine.identity] = machine;
-  last_heard_[machine.identity] = now_;
+  last_contact_[machine.identity] = now_;
 }
 
 void TurnReplica::OnMachineDown(absl::Time now, NodeId identity) {
@@ -215,14 +215,14 @@
     known_machine.zone = machine.zone;
     known_machine.retiring =
         std::find(retiring_.begin(), retiring_.end(), machine.name) != retiring_.end();
-    auto contact = last_heard_.find(identity);
-    absl::Time last = contact == last_heard_.end() ? absl::InfinitePast() : contact->second;
-    last = std::max(last, raft_.LastContact(identity));
+    auto found = last_contact_.find(identity);
+    absl::Time last_contact = found == last_contact_.end() ? absl::InfinitePast() : found->second;
+    last_contact = std::max(last_contact, raft_.LastContact(identity));
     // A new leader counts members' time without contact from its election.
     bool member = view.configuration.IsVoter(identity) || view.configuration.IsLearner(identity);
-    last = member ? std::max(last, leader_since_) : last;
+    last_contact = member ? std::max(last_contact, leader_since_) : last_contact;
     known_machine.time_since_contact =
-        identity == self_.identity ? absl::ZeroDuration() : now_ - last;
+        identity == self_.identity ? absl::ZeroDuration() : now_ - last_contact;
     known_machine.match = raft_.MatchIndex(identity);
     view.machines.push_back(std::move(known_machine));
   }
@@ -301,7 +301,7 @@
 bool TurnReplica::HasReferencedEntries(const consensus::Snapshot& snapshot) const {
   std::vector<consensus::EntryId> entries = entries_of(snapshot);
   return std::all_of(entries.begin(), entries.end(), [&](const consensus::EntryId& entry) {
-    return read_stored_(entry).has_value();
+    return read_stored_entry_(entry).has_value();
   });
 }
 
@@ -318,7 +318,7 @@
 
 std::optional<consensus::Entry> TurnReplica::ReadEntry(consensus::EntryId entry) const {
   const consensus::Entry* in_log = raft_.Find(entry);
-  return in_log != nullptr ? std::make_optional(*in_log) : read_stored_(entry);
+  return in_log != nullptr ? std::make_optional(*in_log) : read_stored_entry_(entry);
 }
 
 void TurnReplica::Apply(const consensus::Ready& ready) {
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -62,10 +62,10 @@
 
 class TurnReplica {
  public:
-  /// @param read_stored reads entries from this machine's disk: applied entries that are still
-  /// referenced, and staged entries.
+  /// @param read_stored_entry reads entries from this machine's disk: applied entries that are
+  /// still referenced, and staged entries.
   TurnReplica(const Machine& self, const ReplicaOptions& options, consensus::RestoredState restored,
-              EntryReader read_stored, std::uint64_t seed, absl::Time now);
+              EntryReader read_stored_entry, std::uint64_t seed, absl::Time now);
   TurnReplica(const TurnReplica&) = delete;
   TurnReplica& operator=(const TurnReplica&) = delete;
 
@@ -158,7 +158,7 @@
 
   Machine self_;
   ReplicaOptions options_;
-  EntryReader read_stored_;
+  EntryReader read_stored_entry_;
   consensus::Raft raft_;
   TurnState state_;
   absl::Time now_;
@@ -186,7 +186,7 @@
   std::optional<consensus::LogIndex> unreadable_index_;
 
   std::map<NodeId, Machine> machines_;
-  std::map<NodeId, absl::Time> last_heard_;
+  std::map<NodeId, absl::Time> last_contact_;
   std::set<NodeId> superseded_;  ///< Former identities of machines that lost their disk.
   std::vector<std::string> retiring_;
   std::map<consensus::LogIndex, Proposal> proposals_;
