--- a/src/turn_ledger/ledger_client.cc
+++ b/src/turn_ledger/ledger_client.cc
@@ -30,7 +30,7 @@
   groups_.resize(groups.size());
   for (std::size_t index = 0; index < groups.size(); ++index) {
     groups_[index].machines = std::move(groups[index]);
-    groups_[index].next = 0;
+    groups_[index].next_machine = 0;
     if (groups_[index].last_answer == absl::InfinitePast()) {
       groups_[index].last_answer = SteadyNow();
     }
@@ -41,30 +41,31 @@
   return group_of(program, groups_.size());
 }
 
-LedgerClient::Group* LedgerClient::Find(GroupId group) {
+LedgerClient::Group* LedgerClient::FindGroup(GroupId group) {
   bool known = group.value >= 1 && group.value <= groups_.size();
   return known ? &groups_[group.value - 1] : nullptr;
 }
 
 bool LedgerClient::RefusedRecently(const wire::Endpoint& machine) const {
-  auto refused = refused_.find(machine);
-  return refused != refused_.end() && SteadyNow() < refused->second + options_.refusal_cooldown;
+  auto refusal = last_refusal_.find(machine);
+  return refusal != last_refusal_.end() &&
+         SteadyNow() < refusal->second + options_.refusal_cooldown;
 }
 
 wire::Endpoint LedgerClient::NextMachine(Group& group) const {
   // A try sent to a dead machine costs its whole timeout.
   for (std::size_t passed = 0; passed < group.machines.size(); ++passed) {
-    const wire::Endpoint& machine = group.machines[group.next++ % group.machines.size()];
+    const wire::Endpoint& machine = group.machines[group.next_machine++ % group.machines.size()];
     if (!RefusedRecently(machine)) {
       return machine;
     }
   }
-  return group.machines[group.next++ % group.machines.size()];
+  return group.machines[group.next_machine++ % group.machines.size()];
 }
 
 void LedgerClient::OnReplicaDown(const wire::Endpoint& replica) {
-  std::erase_if(refused_, [this](const auto& entry) { return !RefusedRecently(entry.first); });
-  refused_[replica] = SteadyNow();
+  std::erase_if(last_refusal_, [this](const auto& entry) { return !RefusedRecently(entry.first); });
+  last_refusal_[replica] = SteadyNow();
   for (Group& group : groups_) {
     if (group.leader == replica) {
       group.leader.reset();
@@ -139,7 +140,7 @@
   request.operation = std::move(operation);
   request.group = group_id;
   request.known_programs_only = programs == Programs::kKnownOnly;
-  Group* group = Find(group_id);
+  Group* group = FindGroup(group_id);
   if (!limited || group == nullptr) {
     co_return co_await RunCall(std::move(request), deadline, relaying);
   }
@@ -155,7 +156,7 @@
   }
   ++group->waiting_reservations;
   CallResult result = co_await RunCall(std::move(request), deadline, relaying);
-  if (Group* after = Find(group_id)) {
+  if (Group* after = FindGroup(group_id)) {
     --after->waiting_reservations;
   }
   co_return result;
@@ -181,7 +182,7 @@
     retries_ += first ? 0 : 1;
     first = false;
     call.reply.reset();
-    Group* group = Find(group_id);
+    Group* group = FindGroup(group_id);
     std::optional<wire::Endpoint> target;
     if (group != nullptr) {
       target = NextTarget(*group, failed, relaying);
@@ -198,7 +199,7 @@
     }
     if (std::exchange(call.unsupported, false)) {
       // Another machine may lead and support the operation.
-      group = Find(group_id);
+      group = FindGroup(group_id);
       bool last =
           group == nullptr || group->leader == target || ++unsupported >= group->machines.size();
       if (last) {
@@ -215,14 +216,14 @@
       continue;
     }
     const LedgerReply& reply = *call.reply;
-    group = Find(group_id);  // The groups may have been replaced meanwhile.
+    group = FindGroup(group_id);  // The groups may have been replaced meanwhile.
     if (group == nullptr) {
       continue;
     }
     const Attempt answered_attempt = call.answered_attempt;
     if (reply.status == ReplyStatus::kDone) {
       group->last_progress = SteadyNow();
-      if (!answered_attempt.through_peer) {
+      if (!answered_attempt.through_relay) {
         group->leader = answered_attempt.target;
         group->last_answer = group->last_progress;
       }
@@ -231,7 +232,7 @@
     }
     may_be_committed = may_be_committed || reply.status == ReplyStatus::kUncertain;
     if (reply.status == ReplyStatus::kOverloaded) {
-      if (!answered_attempt.through_peer) {
+      if (!answered_attempt.through_relay) {
         group->leader = answered_attempt.target;
         group->last_answer = SteadyNow();
       }
@@ -285,7 +286,7 @@
   Operation probe = Probe{};
   co_await Call(group_id, std::move(probe), SteadyNow() + options_.probe_timeout,
                 Relaying::kDirectOnly);
-  if (Group* group = Find(group_id)) {
+  if (Group* group = FindGroup(group_id)) {
     group->probing = false;
   }
 }
@@ -299,7 +300,7 @@
 }
 
 void LedgerClient::OnReply(const wire::Endpoint& from, const LedgerReply& reply) {
-  refused_.erase(from);
+  last_refusal_.erase(from);
   auto found = pending_calls_.find(reply.request);
   if (found == pending_calls_.end() || found->second->attempts.empty()) {
     return;  // The call has completed: this is a late reply to another try.
--- a/src/turn_ledger/ledger_client.h
+++ b/src/turn_ledger/ledger_client.h
@@ -104,7 +104,7 @@
   /// The target of one try of a call.
   struct Attempt {
     wire::Endpoint target;
-    bool through_peer = false;  ///< The target was a relay when the try was sent.
+    bool through_relay = false;  ///< The target was a relay when the try was sent.
   };
 
   struct PendingCall {
@@ -120,7 +120,7 @@
   struct Group {
     std::vector<wire::Endpoint> machines;
     std::optional<wire::Endpoint> leader;
-    std::size_t next = 0;  ///< Index of the machine to try next if no leader is known.
+    std::size_t next_machine = 0;  ///< Index of the machine to try next if no leader is known.
     std::size_t waiting_reservations = 0;  ///< Number of reservations in progress.
     /// When a reservation last completed, or started while no other was waiting.
     absl::Time last_progress = absl::InfinitePast();
@@ -129,7 +129,7 @@
     bool probing = false;
   };
 
-  Group* Find(GroupId group);
+  Group* FindGroup(GroupId group);
   bool RefusedRecently(const wire::Endpoint& machine) const;
   /// @return the group's next machine in round-robin order that has not refused recently, if any.
   wire::Endpoint NextMachine(Group& group) const;
@@ -156,7 +156,7 @@
   std::size_t next_relay_ = 0;
   bool ledger_unreachable_ = false;
   std::map<std::uint64_t, PendingCall*> pending_calls_;
-  std::map<wire::Endpoint, absl::Time> refused_;  ///< Time of each machine's last refusal.
+  std::map<wire::Endpoint, absl::Time> last_refusal_;  ///< Time of each machine's last refusal.
   std::uint64_t retries_ = 0;
   std::uint64_t relayed_ = 0;
 };
