--- a/src/turn_ledger/ledger_client.h
+++ b/src/turn_ledger/ledger_client.h
@@ -133,7 +133,7 @@
   bool RefusedRecently(const wire::Endpoint& machine) const;
   /// @return the group's next machine in round-robin order that has not refused recently, if any.
   wire::Endpoint NextMachine(Group& group) const;
-  /// @return the index of the `place`th probed group.
+  /// @return the index of the `ordinal`th probed group.
   std::size_t ProbedGroupIndex(std::size_t ordinal) const;
   bool IsSaturated(const Group& group) const;
   async_http::Task<void> ProbeGroup(GroupId group);
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -117,7 +117,7 @@
   bool CanRemoveMachine(const std::string& machine) const;
   bool IsCurrentLeader() const { return raft_.LeaderIsCurrent() && !unreadable_index_; }
   /// @return the index of an entry or snapshot that this build can't decode, if there is one. The
-  /// replica then neither leads nor replies.
+  /// replica then neither leads nor serves requests.
   std::optional<consensus::LogIndex> unreadable_index() const { return unreadable_index_; }
   const consensus::Raft& raft() const { return raft_; }
   const TurnState& state() const { return state_; }
--- a/tests/turn_ledger/later_build_test.cc
+++ b/tests/turn_ledger/later_build_test.cc
@@ -1,5 +1,6 @@
 // Downgrades: a replica that can't decode an entry or a snapshot written by a later build must
-// neither lead nor reply. Skipping it would let the replica deny the existence of stored turns.
+// neither lead nor serve requests. Skipping it would let the replica deny the existence of stored
+// turns.
 #include <gtest/gtest.h>
 
 #include "turn_ledger/turn_replica.h"
@@ -53,7 +54,7 @@
   ReplyStatus last_status_ = ReplyStatus::kOverloaded;
 };
 
-TEST_F(LaterBuildTest, ReplicaWithAnUnreadableEntryNeitherLeadsNorReplies) {
+TEST_F(LaterBuildTest, ReplicaWithAnUnreadableEntryNeitherLeadsNorServesRequests) {
   consensus::RestoredState restored;
   restored.entries = {{1, 1, consensus::EntryKind::kCommand, LaterCommand()}};
   restored.hard_state = {1, kNoNode};
@@ -63,7 +64,7 @@
   EXPECT_EQ(Submit(Probe{}), ReplyStatus::kNotLeader);
 }
 
-TEST_F(LaterBuildTest, ReplicaWithAnUnreadableSnapshotNeitherLeadsNorReplies) {
+TEST_F(LaterBuildTest, ReplicaWithAnUnreadableSnapshotNeitherLeadsNorServesRequests) {
   consensus::RestoredState restored;
   restored.snapshot.index = 5;
   restored.snapshot.term = 1;
