--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -108,7 +108,7 @@
 turn_ledger::LedgerClientOptions LedgerOptions(const policy_switches& policy) {
   turn_ledger::LedgerClientOptions options;
   if (!policy.on(mechanism::silence_refusal)) {
-    options.most_waiting = std::numeric_limits<std::size_t>::max();
+    options.max_waiting = std::numeric_limits<std::size_t>::max();
   }
   return options;
 }
@@ -132,7 +132,7 @@
       transport_(
           loop, [this](const std::string& payload) { OnFrame(payload); },
           [this](const std::string& payload) { exchange_.on_datagram(payload); },
-          [this](const wire::Endpoint& peer, absl::Time) { state_->ledger->OnDead(peer); }),
+          [this](const wire::Endpoint& peer, absl::Time) { state_->ledger->OnReplicaDown(peer); }),
       link_(
           transport_, [this] { return Self(); }, log,
           [this](const wire::Endpoint& peer, std::uint64_t request) {
@@ -362,7 +362,7 @@
   std::vector<std::vector<wire::Endpoint>> groups;
   for (std::size_t index = 0; index < layout->size(); ++index) {
     const consensus::Configuration& founders = (*layout)[index];
-    std::vector<Machine> ordered = turn_ledger::members_first(machines, founders);
+    std::vector<Machine> ordered = turn_ledger::initial_members_first(machines, founders);
     std::vector<wire::Endpoint>& endpoints = groups.emplace_back();
     for (const Machine& machine : ordered) {
       endpoints.push_back(machine.endpoint);
@@ -377,7 +377,7 @@
 // ---- Peers and the ledger ----
 
 void GatewayRole::OnFrame(const std::string& payload) {
-  std::optional<turn_ledger::read_message> read = link_.read(payload);
+  std::optional<turn_ledger::decoded_message> read = link_.read(payload);
   if (!read) {
     return;
   }
@@ -405,8 +405,8 @@
       request.group, std::move(request.operation), deadline, turn_ledger::Relaying::kDirectOnly,
       request.known_programs_only ? turn_ledger::Programs::kKnownOnly
                                   : turn_ledger::Programs::kAll);
-  bool answered =
-      result.end == turn_ledger::CallEnd::kDone || result.end == turn_ledger::CallEnd::kOverloaded;
+  bool answered = result.status == turn_ledger::CallStatus::kDone ||
+                  result.status == turn_ledger::CallStatus::kOverloaded;
   if (!answered) {
     co_return;  // The peer asks somebody else.
   }
@@ -422,12 +422,12 @@
 void GatewayRole::JudgeReadiness() {
   const readiness_options knobs;
   if (!stopping_) {  // A stop waits for the calls that are under way.
-    state_->ledger->ProbeQuietGroups(kProbeAfter);
+    state_->ledger->ProbeIdleGroups(kProbeAfter);
   }
   readiness_view view;
   view.m_now = std::chrono::steady_clock::now();
   view.m_groups = state_->ledger->probed_groups();
-  view.m_silent_groups = state_->ledger->SilentGroups(absl::FromChrono(knobs.m_silent_after));
+  view.m_silent_groups = state_->ledger->UnresponsiveGroups(absl::FromChrono(knobs.m_silent_after));
   view.m_peers = exchange_.peers();
   view.m_peers_without_ledger = exchange_.peers_without_ledger();
   bool reaches = ledger_readiness_.judge(view) || !settings_.policy.on(mechanism::readiness);
--- a/src/roles/peers/peer_link.cc
+++ b/src/roles/peers/peer_link.cc
@@ -43,7 +43,7 @@
 void peer_link::ask(const wire::Endpoint& to, Body request)
 {
     instant now = SteadyInstant();
-    bool unknown = m_layouts.note_request(now, to);
+    bool unknown = m_layouts.on_request(now, to);
     std::optional<Layout> reads = m_layouts.of(to);
     if (unknown)
     {
@@ -157,16 +157,16 @@
 
 void peer_link::on_closed(const wire::Endpoint& peer)
 {
-    m_layouts.note_closed(peer);
+    m_layouts.on_connection_closed(peer);
     m_stats.m_dropped += take_waiting(SteadyInstant(), peer).size();
 }
 
 // ---- In ----
 
-std::optional<turn_ledger::read_message> peer_link::read(const std::string& payload)
+std::optional<turn_ledger::decoded_message> peer_link::read(const std::string& payload)
 {
-    turn_ledger::frame came = turn_ledger::decode_frame(payload);
-    if (auto* message = std::get_if<turn_ledger::read_message>(&came))
+    turn_ledger::decoded_frame came = turn_ledger::decode_frame(payload);
+    if (auto* message = std::get_if<turn_ledger::decoded_message>(&came))
     {
         const turn_ledger::Machine& from = message->m_envelope.from;
         note_heard(from.endpoint, from.name, message->m_sender_reads);
@@ -201,7 +201,7 @@
 
 void peer_link::note_heard(const wire::Endpoint& from, const std::string& name, std::optional<Layout> reads)
 {
-    bool news = m_layouts.note_heard(from, reads);
+    bool news = m_layouts.on_frame_received(from, reads);
     if (!news)
     {
         return;
--- a/src/turn_ledger/chain/chain_reader.h
+++ b/src/turn_ledger/chain/chain_reader.h
@@ -1,7 +1,6 @@
-// Reads chains of kept turns from the replicas, the near ones first.
+// Reads chains of stored turns from replicas, preferably in the gateway's zone.
 //
-// The leader already orders every reservation; were it to send every chain as well, its link would be
-// full long before its disk or processor is.
+// Reading from any replica keeps the leader's network link, which would saturate first, free of chains.
 #pragma once
 
 #include <algorithm>
@@ -24,27 +23,27 @@
 namespace martenyard::turn_ledger
 {
 
-/// @brief something that takes a request to a replica; it may be lost on the way
+/// @brief sends a request to a replica, without guaranteed delivery
 template <typename Send>
 concept chain_sender = std::invocable<Send&, const wire::Endpoint&, const chain_request&>;
 
-/// @brief how patient a reader is
+/// @brief timeouts and limits of a chain reader
 struct chain_reader_options
 {
-    /// then another replica is asked
+    /// time after which another replica is tried
     std::chrono::milliseconds m_try_timeout{120};
-    /// replicas asked at most for one chain
-    std::size_t m_most_tries = 3;
-    /// for how long a machine that was silent, or is no replica, is asked last
-    std::chrono::milliseconds m_avoidance{3000};
+    /// maximum number of replicas tried for one chain
+    std::size_t m_max_tries = 3;
+    /// how long a machine that did not reply, or is not a replica, is tried last
+    std::chrono::milliseconds m_avoid_duration{3000};
 };
 
-/// @brief asks replicas for chains; on the loop's thread only
+/// @brief reads chains from replicas; not thread-safe: for the event loop's thread only
 template <chain_sender Send>
 class basic_chain_reader
 {
   public:
-    /// @param[in] zone  replicas of this zone are asked first
+    /// @param[in] zone  replicas of this zone are tried first
     basic_chain_reader(async_http::asio::io_context& context, Send send, ZoneName zone,
                        std::uint64_t first_request, const chain_reader_options& options = {})
         : m_context(context),
@@ -55,12 +54,13 @@
     {
     }
 
-    /// @brief replaces what is known of a group
-    /// @param[in] machines   all that may have a replica, the likely ones first
-    /// @param[in] likely     how many of them are
-    void set_machines(GroupId group, std::vector<Machine> machines, std::size_t likely)
+    /// @brief sets the machines of a group
+    /// @param[in] machines      all that may have a replica, the likely ones first
+    /// @param[in] likely_count  number of likely ones at the front
+    void set_machines(GroupId group, std::vector<Machine> machines, std::size_t likely_count)
     {
-        auto last_likely = machines.begin() + static_cast<std::ptrdiff_t>(std::min(likely, machines.size()));
+        auto last_likely =
+            machines.begin() + static_cast<std::ptrdiff_t>(std::min(likely_count, machines.size()));
         std::stable_partition(machines.begin(), last_likely,
                               [this](const Machine& machine)
                               {
@@ -70,48 +70,48 @@
     }
 
     /// @param[in] known  see @ref chain_request
-    /// @return the first reply that has the turn, or nothing when the replicas asked did not know it or
-    ///         did not answer: then only the leader can tell
+    /// @return the first reply that has the turn, or nothing if no tried replica has it or replies: then only
+    ///         the leader can tell whether it exists
     async_http::Task<std::optional<chain_reply>> read(GroupId group, TurnId turn, std::optional<TurnId> known)
     {
         std::vector<wire::Endpoint> targets = choose_targets(group);
         for (const wire::Endpoint& target : targets)
         {
             chain_request request{++m_last_request, group, turn, known};
-            waiting_read waiting(m_context);
-            m_waiting[request.m_request] = &waiting;
+            pending_read pending(m_context);
+            m_pending[request.m_request] = &pending;
             m_send(target, request);
-            co_await waiting.m_arrived.Wait(absl::FromChrono(m_options.m_try_timeout));
-            m_waiting.erase(request.m_request);
-            bool useful = waiting.m_reply && waiting.m_reply->m_has_state;
+            co_await pending.m_reply_arrived.Wait(absl::FromChrono(m_options.m_try_timeout));
+            m_pending.erase(request.m_request);
+            bool useful = pending.m_reply && pending.m_reply->m_is_replica;
             m_avoided_until[{group, target}] =
-                useful ? absl::InfinitePast() : SteadyNow() + absl::FromChrono(m_options.m_avoidance);
-            if (waiting.m_reply && waiting.m_reply->m_found)
+                useful ? absl::InfinitePast() : SteadyNow() + absl::FromChrono(m_options.m_avoid_duration);
+            if (pending.m_reply && pending.m_reply->m_found)
             {
-                co_return std::move(waiting.m_reply);
+                co_return std::move(pending.m_reply);
             }
         }
         co_return std::nullopt;
     }
 
-    /// @brief a replica answered
+    /// @brief handles a replica's reply
     void on_reply(chain_reply reply)
     {
-        auto found = m_waiting.find(reply.m_request);
-        if (found != m_waiting.end())
+        auto found = m_pending.find(reply.m_request);
+        if (found != m_pending.end())
         {
             found->second->m_reply = std::move(reply);
-            found->second->m_arrived.Notify();
+            found->second->m_reply_arrived.Notify();
         }
     }
 
   private:
-    struct waiting_read
+    struct pending_read
     {
-        explicit waiting_read(async_http::asio::io_context& context) : m_arrived(context)
+        explicit pending_read(async_http::asio::io_context& context) : m_reply_arrived(context)
         {
         }
-        async_http::Signal m_arrived;
+        async_http::Signal m_reply_arrived;
         std::optional<chain_reply> m_reply;
     };
 
@@ -127,7 +127,7 @@
             (avoid ? avoided : targets).push_back(machine.endpoint);
         }
         targets.insert(targets.end(), avoided.begin(), avoided.end());
-        targets.resize(std::min(targets.size(), m_options.m_most_tries));
+        targets.resize(std::min(targets.size(), m_options.m_max_tries));
         return targets;
     }
 
@@ -138,10 +138,10 @@
     chain_reader_options m_options;
     std::map<GroupId, std::vector<Machine>> m_machines;
     std::map<std::pair<GroupId, wire::Endpoint>, absl::Time> m_avoided_until;
-    std::map<std::uint64_t, waiting_read*> m_waiting;
+    std::map<std::uint64_t, pending_read*> m_pending;
 };
 
-/// @brief the reader that gateways use
+/// @brief the chain reader of gateways
 using chain_reader = basic_chain_reader<std::function<void(const wire::Endpoint&, const chain_request&)>>;
 
 }  // namespace martenyard::turn_ledger
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr absl::Duration kPlanInterval = absl::Milliseconds(100);
-/// Between tries to hand leadership to the member that should have it, and twice the first wait.
-constexpr absl::Duration kHandOverInterval = absl::Seconds(4);
+/// Time between transfers to the preferred leader; a new leader waits half of it.
+constexpr absl::Duration kLeadershipTransferInterval = absl::Seconds(4);
 
-/// The limiter counts in the newer code's time; both are steady and begin at the same moment.
+/// Converts to the rate limiter's clock type. Both clocks are steady and have the same epoch.
 tenancy::instant QuotaTime(absl::Time now) {
   return tenancy::instant(absl::ToChronoNanoseconds(now - absl::UnixEpoch()));
 }
@@ -20,63 +20,63 @@
 }  // namespace
 
 TurnReplica::TurnReplica(const Machine& self, const ReplicaOptions& options,
-                         consensus::RestoredState restored, EntryReader read_stored,
+                         consensus::RestoredState restored, EntryReader read_stored_entry,
                          std::uint64_t seed, absl::Time now)
     : self_(self),
       options_(options),
-      read_stored_(std::move(read_stored)),
+      read_stored_entry_(std::move(read_stored_entry)),
       raft_(self.identity, options.raft, restored, seed, now),
       state_([this](consensus::EntryId entry) { return ReadEntry(entry); }),
       now_(now),
-      snapshots_(options.snapshot_log_bytes, restored.snapshot),
+      snapshot_schedule_(options.snapshot_log_bytes, restored.snapshot),
       quotas_(options.quota) {
   const consensus::Snapshot& snapshot = restored.snapshot;
   if (snapshot.index > 0) {
     RestoreState(snapshot);
   }
-  OnMachine(now, self);
+  UpdateMachine(now, self);
 }
 
 // ---- Inputs ----
 
 void TurnReplica::Tick(absl::Time now) {
   now_ = std::max(now_, now);
-  if (unreadable_) {
+  if (unreadable_index_) {
     return;
   }
   raft_.Tick(now_);
-  WatchLeadership();
+  UpdateLeadership();
   if (raft_.LeaderIsCurrent() && now_ >= next_plan_) {
     next_plan_ = now_ + kPlanInterval;
-    Plan();
+    PlanConfiguration();
   }
 }
 
 void TurnReplica::OnLogMessage(absl::Time now, NodeId from, const consensus::RaftMessage& message) {
   now_ = std::max(now_, now);
-  if (unreadable_) {
+  if (unreadable_index_) {
     return;
   }
   const auto* request = std::get_if<consensus::SnapshotRequest>(&message);
-  bool news = request != nullptr && request->snapshot.index > raft_.commit_index();
-  if (news && !HasEntriesOf(request->snapshot)) {
-    ++incomplete_snapshots_;  // A part was lost on the way. The leader sends it all again.
+  bool newer = request != nullptr && request->snapshot.index > raft_.commit_index();
+  if (newer && !HasReferencedEntries(request->snapshot)) {
+    ++incomplete_snapshots_;  // A part was lost. The leader sends the snapshot again.
     return;
   }
   raft_.Step(now_, from, message);
-  WatchLeadership();
+  UpdateLeadership();
 }
 
-void TurnReplica::OnMachine(absl::Time now, const Machine& machine, bool spoke) {
+void TurnReplica::UpdateMachine(absl::Time now, const Machine& machine, bool self_reported) {
   now_ = std::max(now_, now);
   bool name_known = std::any_of(machines_.begin(), machines_.end(), [&](const auto& entry) {
     return entry.second.name == machine.name;
   });
-  if (!spoke && (name_known || superseded_.contains(machine.identity))) {
+  if (!self_reported && (name_known || superseded_.contains(machine.identity))) {
     return;
   }
   superseded_.erase(machine.identity);
-  // A machine has one identity at a time: an older one is gone for good, with its disk.
+  // A machine has one identity at a time: a former identity was lost with its disk.
   for (auto known = machines_.begin(); known != machines_.end();) {
     bool superseded = known->second.name == machine.name && known->first != machine.identity;
     if (!superseded) {
@@ -84,19 +84,19 @@
       continue;
     }
     superseded_.insert(known->first);
-    heard_.erase(known->first);
+    last_contact_.erase(known->first);
     known = machines_.erase(known);
   }
   machines_[machine.identity] = machine;
-  heard_[machine.identity] = now_;
+  last_contact_[machine.identity] = now_;
 }
 
-void TurnReplica::OnDead(absl::Time now, NodeId identity) {
+void TurnReplica::OnMachineDown(absl::Time now, NodeId identity) {
   now_ = std::max(now_, now);
   raft_.OnMemberDead(now_, identity);
 }
 
-void TurnReplica::HandOver() {
+void TurnReplica::TransferLeadership() {
   if (!raft_.IsLeader()) {
     return;
   }
@@ -115,147 +115,152 @@
                             const LedgerRequest& request, wire::Layout layout) {
   now_ = std::max(now_, now);
   Requester requester{gateway, request.request, layout};
-  if (!raft_.IsLeader() || unreadable_) {
-    Answer(requester, ReplyStatus::kNotLeader);
+  if (!raft_.IsLeader() || unreadable_index_) {
+    Reply(requester, ReplyStatus::kNotLeader);
     return;
   }
-  if (AnswerAtOnce(requester, request)) {
+  if (ReplyWithoutLog(requester, request)) {
     return;
   }
-  if (under_way_.contains(requester)) {
-    return;  // Asked again out of impatience: one entry in the log answers both.
+  if (in_flight_.contains(requester)) {
+    return;  // A retry of a pending request: one log entry serves both.
   }
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
-  if (proposals_.size() >= options_.max_pending || (!settlement && (full_ || Overloaded()))) {
-    Answer(requester, ReplyStatus::kOverloaded);
+  if (proposals_.size() >= options_.max_pending || (!settlement && (disk_full_ || Overloaded()))) {
+    Reply(requester, ReplyStatus::kOverloaded);
     return;
   }
   Command command{LedgerNow(), request.operation};
   auto index = raft_.Propose(consensus::EntryKind::kCommand, wire::Encode(command));
   if (!index) {
-    Answer(requester, ReplyStatus::kNotLeader);
+    Reply(requester, ReplyStatus::kNotLeader);
     return;
   }
   proposals_[*index] = {raft_.term(), requester, now_};
-  under_way_.insert(requester);
+  in_flight_.insert(requester);
 }
 
-bool TurnReplica::AnswerAtOnce(const Requester& requester, const LedgerRequest& request) {
+bool TurnReplica::ReplyWithoutLog(const Requester& requester, const LedgerRequest& request) {
   if (std::holds_alternative<Probe>(request.operation)) {
-    Answer(requester, raft_.LeaderIsCurrent() ? ReplyStatus::kDone : ReplyStatus::kNotLeader);
+    Reply(requester, raft_.LeaderIsCurrent() ? ReplyStatus::kDone : ReplyStatus::kNotLeader);
     return true;
   }
   if (const auto* quota = std::get_if<TakeQuota>(&request.operation)) {
-    // A leader that was replaced without knowing it must not count beside the next one.
+    // A deposed leader that has not noticed must not grant quota alongside its successor.
     if (!raft_.HoldsLease(now_)) {
-      Answer(requester, ReplyStatus::kNotLeader);
+      Reply(requester, ReplyStatus::kNotLeader);
       return true;
     }
     OperationResult result;
     result.quota = quotas_.take(QuotaTime(now_), quota->request);
-    Answer(requester, ReplyStatus::kDone, std::move(result));
+    Reply(requester, ReplyStatus::kDone, std::move(result));
     return true;
   }
   const auto* reserve = std::get_if<ReserveTurn>(&request.operation);
-  bool unwanted = reserve != nullptr && request.known_programs_only && raft_.LeaderIsCurrent() &&
-                  !state_.Knows(reserve->program);
-  if (unwanted) {
+  bool refused = reserve != nullptr && request.known_programs_only && raft_.LeaderIsCurrent() &&
+                 !state_.HasProgram(reserve->program);
+  if (refused) {
     OperationResult result;
-    result.verdict = Verdict::kNewProgram;
-    Answer(requester, ReplyStatus::kDone, std::move(result));
+    result.verdict = Verdict::kUnknownProgram;
+    Reply(requester, ReplyStatus::kDone, std::move(result));
   }
-  return unwanted;
+  return refused;
 }
 
 // ---- Leading ----
 
 LedgerMillis TurnReplica::LedgerNow() const {
-  return ledger_time_at_start_ + absl::ToInt64Milliseconds(now_ - led_since_);
+  return ledger_time_at_election_ + absl::ToInt64Milliseconds(now_ - leader_since_);
 }
 
 bool TurnReplica::Overloaded() const {
-  return !proposals_.empty() && proposals_.begin()->second.at + options_.overload_after < now_;
+  return !proposals_.empty() &&
+         proposals_.begin()->second.proposed_at + options_.overload_after < now_;
 }
 
-void TurnReplica::WatchLeadership() {
+void TurnReplica::UpdateLeadership() {
   if (raft_.IsLeader() == was_leader_) {
     return;
   }
   was_leader_ = raft_.IsLeader();
   if (was_leader_) {
-    led_since_ = now_;
-    ledger_time_at_start_ = state_.now();
+    leader_since_ = now_;
+    ledger_time_at_election_ = state_.now();
     next_plan_ = now_;
-    next_hand_over_ = now_ + kHandOverInterval / 2;
+    next_leadership_transfer_ = now_ + kLeadershipTransferInterval / 2;
     quotas_.reset(QuotaTime(now_));
     return;
   }
-  GiveUpProposals();
+  AbandonProposals();
   transfers_.clear();
 }
 
-void TurnReplica::GiveUpProposals() {
+void TurnReplica::AbandonProposals() {
   for (const auto& [index, proposal] : proposals_) {
-    Answer(proposal.requester, ReplyStatus::kUncertain);
+    Reply(proposal.requester, ReplyStatus::kUncertain);
   }
   proposals_.clear();
-  under_way_.clear();
+  in_flight_.clear();
 }
 
-GroupView TurnReplica::View() const {
+GroupView TurnReplica::MakeGroupView() const {
   GroupView view;
   view.leader = self_.identity;
   view.configuration = raft_.configuration();
   view.commit = raft_.commit_index();
   for (const auto& [identity, machine] : machines_) {
-    MachineView seen;
-    seen.name = machine.name;
-    seen.identity = identity;
-    seen.zone = machine.zone;
-    seen.retiring = std::find(retiring_.begin(), retiring_.end(), machine.name) != retiring_.end();
-    auto heard = heard_.find(identity);
-    absl::Time last = heard == heard_.end() ? absl::InfinitePast() : heard->second;
-    last = std::max(last, raft_.LastContact(identity));
-    // A new leader gives every member the time to be heard of.
+    MachineView known_machine;
+    known_machine.name = machine.name;
+    known_machine.identity = identity;
+    known_machine.zone = machine.zone;
+    known_machine.retiring =
+        std::find(retiring_.begin(), retiring_.end(), machine.name) != retiring_.end();
+    auto found = last_contact_.find(identity);
+    absl::Time last_contact = found == last_contact_.end() ? absl::InfinitePast() : found->second;
+    last_contact = std::max(last_contact, raft_.LastContact(identity));
+    // A new leader counts members' time without contact from its election.
     bool member = view.configuration.IsVoter(identity) || view.configuration.IsLearner(identity);
-    last = member ? std::max(last, led_since_) : last;
-    seen.silent_for = identity == self_.identity ? absl::ZeroDuration() : now_ - last;
-    seen.match = raft_.MatchIndex(identity);
-    view.machines.push_back(std::move(seen));
+    last_contact = member ? std::max(last_contact, leader_since_) : last_contact;
+    known_machine.time_since_contact =
+        identity == self_.identity ? absl::ZeroDuration() : now_ - last_contact;
+    known_machine.match = raft_.MatchIndex(identity);
+    view.machines.push_back(std::move(known_machine));
   }
   for (NodeId member : view.configuration.Members()) {
     if (!machines_.contains(member) && !superseded_.contains(member)) {
-      MachineView unheard;
-      unheard.identity = member;
-      unheard.present = false;
-      unheard.silent_for = now_ - std::max(raft_.LastContact(member), led_since_);
-      unheard.match = raft_.MatchIndex(member);
-      view.machines.push_back(std::move(unheard));
+      MachineView unknown_machine;
+      unknown_machine.identity = member;
+      unknown_machine.present = false;
+      unknown_machine.time_since_contact =
+          now_ - std::max(raft_.LastContact(member), leader_since_);
+      unknown_machine.match = raft_.MatchIndex(member);
+      view.machines.push_back(std::move(unknown_machine));
     }
   }
   return view;
 }
 
-void TurnReplica::Plan() {
+void TurnReplica::PlanConfiguration() {
   if (!raft_.ConfigurationIsCommitted()) {
     return;
   }
-  GroupView view = View();
+  GroupView view = MakeGroupView();
   if (auto next = PlanMembership(view, options_.planner)) {
     raft_.ProposeConfiguration(*next);
     return;
   }
   NodeId preferred = PreferredLeader(view, options_.planner);
-  bool due = options_.preferred_leaders && now_ >= next_hand_over_ && preferred != self_.identity;
+  bool due = options_.preferred_leaders && now_ >= next_leadership_transfer_ &&
+             preferred != self_.identity;
   if (due && raft_.MatchIndex(preferred) >= raft_.commit_index()) {
-    next_hand_over_ = now_ + kHandOverInterval;
+    next_leadership_transfer_ = now_ + kLeadershipTransferInterval;
     raft_.TransferLeadership(preferred);
   }
 }
 
-bool TurnReplica::MayTakeAway(const std::string& machine) const {
+bool TurnReplica::CanRemoveMachine(const std::string& machine) const {
   return raft_.LeaderIsCurrent() && raft_.ConfigurationIsCommitted() &&
-         turn_ledger::MayTakeAway(View(), machine, options_.planner);
+         turn_ledger::CanRemoveMachine(MakeGroupView(), machine, options_.planner);
 }
 
 // ---- Snapshots to other members ----
@@ -277,7 +282,7 @@
 }
 
 std::vector<consensus::Outbound> TurnReplica::NextTransferParts(
-    std::size_t most_bytes, const std::function<bool(NodeId)>& ready) {
+    std::size_t max_bytes, const std::function<bool(NodeId)>& ready) {
   std::vector<NodeId> members = raft_.configuration().Members();
   std::erase_if(transfers_, [&](const auto& entry) {
     return std::find(members.begin(), members.end(), entry.first) == members.end();
@@ -286,21 +291,22 @@
   for (auto& [member, transfer] : transfers_) {
     if (ready(member)) {
       parts.push_back(
-          transfer.next(most_bytes, [this](consensus::EntryId entry) { return ReadEntry(entry); }));
+          transfer.next(max_bytes, [this](consensus::EntryId entry) { return ReadEntry(entry); }));
     }
   }
   std::erase_if(transfers_, [](const auto& entry) { return entry.second.done(); });
   return parts;
 }
 
-bool TurnReplica::HasEntriesOf(const consensus::Snapshot& snapshot) const {
+bool TurnReplica::HasReferencedEntries(const consensus::Snapshot& snapshot) const {
   std::vector<consensus::EntryId> entries = entries_of(snapshot);
   return std::all_of(entries.begin(), entries.end(), [&](const consensus::EntryId& entry) {
-    return read_stored_(entry).has_value();
+    return read_stored_entry_(entry).has_value();
   });
 }
 
-std::vector<consensus::LogIndex> TurnReplica::KeptBy(const consensus::Snapshot& snapshot) {
+std::vector<consensus::LogIndex> TurnReplica::EntriesReferencedBy(
+    const consensus::Snapshot& snapshot) {
   std::vector<consensus::LogIndex> kept;
   for (const consensus::EntryId& entry : entries_of(snapshot)) {
     kept.push_back(entry.index);
@@ -312,20 +318,20 @@
 
 std::optional<consensus::Entry> TurnReplica::ReadEntry(consensus::EntryId entry) const {
   const consensus::Entry* in_log = raft_.Find(entry);
-  return in_log != nullptr ? std::make_optional(*in_log) : read_stored_(entry);
+  return in_log != nullptr ? std::make_optional(*in_log) : read_stored_entry_(entry);
 }
 
 void TurnReplica::Apply(const consensus::Ready& ready) {
   if (ready.snapshot_to_install) {
     const consensus::Snapshot& snapshot = *ready.snapshot_to_install;
     RestoreState(snapshot);
-    snapshots_.NoteInstalled(snapshot);
-    snapshot_under_way_.reset();  // The leader's is newer.
+    snapshot_schedule_.NoteInstalled(snapshot);
+    snapshot_in_progress_.reset();  // The installed one is newer.
   }
   for (const consensus::Entry& entry : ready.committed) {
     ApplyEntry(entry);
   }
-  if (!unreadable_) {
+  if (!unreadable_index_) {
     BeginSnapshotIfDue();
   }
 }
@@ -337,101 +343,101 @@
 }
 
 void TurnReplica::Halt(consensus::LogIndex unreadable) {
-  unreadable_ = unreadable;
-  GiveUpProposals();
+  unreadable_index_ = unreadable;
+  AbandonProposals();
   transfers_.clear();
 }
 
 void TurnReplica::ApplyEntry(const consensus::Entry& entry) {
-  if (unreadable_) {
+  if (unreadable_index_) {
     return;
   }
-  snapshots_.NoteApplied(entry);
+  snapshot_schedule_.NoteApplied(entry);
   auto proposal = proposals_.extract(entry.index);
   if (entry.kind != consensus::EntryKind::kCommand) {
     return;
   }
   auto command = wire::Decode<Command>(entry.payload);
   if (!command) {
-    // Only a later build writes it. Passed over here and applied by others, it would part the
-    // states.
+    // Written by a later build. Skipping an entry that other replicas apply would make the states
+    // diverge.
     Halt(entry.index);
     return;
   }
-  bool asked_here = !proposal.empty();
-  OperationResult result = state_.Apply(*command, {entry.index, entry.term}, asked_here);
-  for (consensus::LogIndex expired : state_.TakeExpired()) {
-    forgotten_.push_back(expired);
+  bool proposed_here = !proposal.empty();
+  OperationResult result = state_.Apply(*command, {entry.index, entry.term}, proposed_here);
+  for (consensus::LogIndex expired : state_.TakeExpiredEntries()) {
+    unreferenced_entries_.push_back(expired);
   }
-  // A leader's clock starts at its log's end, which it may only have applied now.
+  // A leader's ledger clock continues from the end of the log, which may only now be applied.
   if (raft_.IsLeader()) {
-    ledger_time_at_start_ = std::max(ledger_time_at_start_,
-                                     state_.now() - absl::ToInt64Milliseconds(now_ - led_since_));
+    ledger_time_at_election_ = std::max(
+        ledger_time_at_election_, state_.now() - absl::ToInt64Milliseconds(now_ - leader_since_));
   }
   if (proposal.empty()) {
     return;
   }
-  under_way_.erase(proposal.mapped().requester);
-  bool own = proposal.mapped().term == entry.term && !result.history_missing;
-  Answer(proposal.mapped().requester, own ? ReplyStatus::kDone : ReplyStatus::kUncertain,
-         own ? std::move(result) : OperationResult{});
+  in_flight_.erase(proposal.mapped().requester);
+  bool valid = proposal.mapped().term == entry.term && !result.history_missing;
+  Reply(proposal.mapped().requester, valid ? ReplyStatus::kDone : ReplyStatus::kUncertain,
+        valid ? std::move(result) : OperationResult{});
 }
 
 void TurnReplica::BeginSnapshotIfDue() {
-  if (snapshot_under_way_ || !snapshots_.Due(raft_)) {
+  if (snapshot_in_progress_ || !snapshot_schedule_.Due(raft_)) {
     return;
   }
-  snapshot_under_way_.emplace(
-      SnapshotUnderWay{snapshots_.Begin(raft_), state_image_encoder(state_.Capture())});
+  snapshot_in_progress_.emplace(
+      SnapshotInProgress{snapshot_schedule_.Begin(raft_), state_image_encoder(state_.Capture())});
 }
 
-std::optional<SnapshotStep> TurnReplica::NextSnapshotStep(std::size_t most_bytes) {
-  if (!snapshot_under_way_ || snapshot_under_way_->encoder.done()) {
+std::optional<SnapshotStep> TurnReplica::NextSnapshotStep(std::size_t max_bytes) {
+  if (!snapshot_in_progress_ || snapshot_in_progress_->encoder.done()) {
     return std::nullopt;
   }
-  SnapshotUnderWay& under_way = *snapshot_under_way_;
+  SnapshotInProgress& in_progress = *snapshot_in_progress_;
   SnapshotStep step;
-  step.first = !std::exchange(under_way.begun, true);
-  step.part = under_way.encoder.next(most_bytes);
-  under_way.snapshot.data += step.part;
-  if (under_way.encoder.done()) {
-    const consensus::Snapshot& whole = under_way.snapshot;
-    step.finished = consensus::Snapshot{whole.index, whole.term, whole.configuration, ""};
-    step.kept = state_.EntriesInUse(whole.index);
+  step.first = !std::exchange(in_progress.started, true);
+  step.part = in_progress.encoder.next(max_bytes);
+  in_progress.snapshot.data += step.part;
+  if (in_progress.encoder.done()) {
+    const consensus::Snapshot& snapshot = in_progress.snapshot;
+    step.finished = consensus::Snapshot{snapshot.index, snapshot.term, snapshot.configuration, ""};
+    step.kept = state_.ReferencedEntries(snapshot.index);
   }
   return step;
 }
 
 void TurnReplica::FinishSnapshot() {
-  if (snapshot_under_way_ && snapshot_under_way_->encoder.done()) {
-    snapshots_.Finish(raft_, std::move(snapshot_under_way_->snapshot));
-    snapshot_under_way_.reset();
+  if (snapshot_in_progress_ && snapshot_in_progress_->encoder.done()) {
+    snapshot_schedule_.Finish(raft_, std::move(snapshot_in_progress_->snapshot));
+    snapshot_in_progress_.reset();
   }
 }
 
-void TurnReplica::NoteStored(const std::vector<consensus::LogIndex>& kept) {
-  std::vector<consensus::LogIndex> in_use = state_.EntriesInUse(raft_.snapshot_index());
+void TurnReplica::OnStoredEntries(const std::vector<consensus::LogIndex>& kept) {
+  std::vector<consensus::LogIndex> referenced = state_.ReferencedEntries(raft_.snapshot_index());
   for (consensus::LogIndex index : kept) {
-    if (!std::binary_search(in_use.begin(), in_use.end(), index)) {
-      forgotten_.push_back(index);
+    if (!std::binary_search(referenced.begin(), referenced.end(), index)) {
+      unreferenced_entries_.push_back(index);
     }
   }
 }
 
-std::vector<consensus::LogIndex> TurnReplica::TakeForgotten() {
-  // Later entries are part of the log. The snapshot that takes its place leaves them out.
-  std::vector<consensus::LogIndex> taken = std::exchange(forgotten_, {});
+std::vector<consensus::LogIndex> TurnReplica::TakeUnreferencedEntries() {
+  // Entries after the snapshot are still part of the log. The next snapshot drops them.
+  std::vector<consensus::LogIndex> taken = std::exchange(unreferenced_entries_, {});
   std::erase_if(taken, [&](consensus::LogIndex index) { return index > raft_.snapshot_index(); });
   return taken;
 }
 
-std::vector<ReplyTo> TurnReplica::TakeReplies() {
-  std::vector<ReplyTo> taken = std::move(replies_);
+std::vector<OutgoingLedgerReply> TurnReplica::TakeReplies() {
+  std::vector<OutgoingLedgerReply> taken = std::move(replies_);
   replies_.clear();
   return taken;
 }
 
-void TurnReplica::Answer(const Requester& requester, ReplyStatus status, OperationResult result) {
+void TurnReplica::Reply(const Requester& requester, ReplyStatus status, OperationResult result) {
   LedgerReply reply;
   reply.request = requester.request;
   reply.status = status;
--- a/tests/turn_ledger/frames/frame_codec_test.cc
+++ b/tests/turn_ledger/frames/frame_codec_test.cc
@@ -1,4 +1,4 @@
-// Frames of other builds, later ones too: read where that is possible, and named where it isn't.
+// Frames of other builds, including later ones: decoded if possible, reported as unreadable otherwise.
 #include "turn_ledger/frames/frame_codec.h"
 
 #include <gtest/gtest.h>
@@ -21,10 +21,10 @@
     return {layouts::gateway_machine(), layouts::ledger_request<LedgerRequest>(Probe{})};
 }
 
-TEST(FrameCodec, LaterBuildsFrameIsNamedAndNotRead)
+TEST(FrameCodec, FrameOfALaterLayoutIsReportedAsUnreadable)
 {
     std::string payload = wire::Mark({newest + 1, newest + 4}, wire::Encode(probe()) + "more");
-    frame read = decode_frame(payload);
+    decoded_frame read = decode_frame(payload);
     auto* unreadable = std::get_if<unreadable_frame>(&read);
     ASSERT_NE(unreadable, nullptr);
     EXPECT_EQ(unreadable->m_layout, newest + 1);
@@ -32,18 +32,18 @@
     EXPECT_EQ(unreadable->m_from, "edge-1");
 }
 
-TEST(FrameCodec, LaterBuildThatWritesAKnownLayoutIsWrittenToInTheNewestOfThisBuild)
+TEST(FrameCodec, LaterBuildThatWritesAKnownLayoutReadsTheNewestOfThisBuild)
 {
-    frame read = decode_frame(wire::Mark({newest, newest + 4}, wire::Encode(probe())));
-    auto* message = std::get_if<read_message>(&read);
+    decoded_frame read = decode_frame(wire::Mark({newest, newest + 4}, wire::Encode(probe())));
+    auto* message = std::get_if<decoded_message>(&read);
     ASSERT_NE(message, nullptr);
     EXPECT_EQ(message->m_sender_reads, wire::kNewestLayout);
 }
 
-TEST(FrameCodec, GreetingOfALaterBuildIsReadWhateverStandsBehindIt)
+TEST(FrameCodec, GreetingOfALaterBuildIsReadDespiteTrailingBytes)
 {
     wire::Greeting greeting{{"10.0.0.9", 7381}, "edge-1", "later", true};
-    frame read =
+    decoded_frame read =
         decode_frame(wire::Mark({wire::kGreetingLayout, newest + 4}, wire::Encode(greeting) + "more"));
     auto* greeted = std::get_if<greeting_frame>(&read);
     ASSERT_NE(greeted, nullptr);
@@ -54,14 +54,14 @@
     EXPECT_EQ(common_layout(greeted->m_newest), wire::kNewestLayout);
 }
 
-TEST(FrameCodec, OperationThatALayoutDoesNotHaveIsNotWritten)
+TEST(FrameCodec, OperationThatALayoutDoesNotSupportIsNotEncoded)
 {
     Envelope quota{layouts::gateway_machine(), layouts::ledger_request<LedgerRequest>(TakeQuota{})};
     EXPECT_FALSE(encode_frame(quota, Layout::kUnmarked1).has_value());
     EXPECT_TRUE(encode_frame(quota, Layout::kUnmarked2).has_value());
 }
 
-TEST(FrameCodec, MarkIsNoBeginningOfAMessageWithoutOne)
+TEST(FrameCodec, UnmarkedMessageDoesNotStartWithAMark)
 {
     for (Layout layout : {Layout::kUnmarked1, Layout::kUnmarked2})
     {
@@ -72,8 +72,8 @@
     }
 }
 
-/// A request or reply of any values, in an unmarked layout, is never taken for one of the other.
-RC_GTEST_PROP(FrameCodecProperty, UnmarkedFramesAreTakenForTheirOwnLayout, ())
+/// A request or reply with arbitrary values in one unmarked layout is never decoded as the other.
+RC_GTEST_PROP(FrameCodecProperty, UnmarkedFramesAreDecodedInTheirOwnLayout, ())
 {
     Layout layout = *rc::gen::element(Layout::kUnmarked1, Layout::kUnmarked2);
     LedgerReply reply;
@@ -94,8 +94,8 @@
     for (Body body : {Body(reply), Body(request)})
     {
         std::string payload = *encode_frame({layouts::storage_machine(), body}, layout);
-        frame read = decode_frame(payload);
-        auto* message = std::get_if<read_message>(&read);
+        decoded_frame read = decode_frame(payload);
+        auto* message = std::get_if<decoded_message>(&read);
         RC_ASSERT(message != nullptr);
         RC_ASSERT(message->m_layout == layout);
         RC_ASSERT(encode_frame(message->m_envelope, layout) == payload);
