--- a/src/forwarding/admission/program_admission.h
+++ b/src/forwarding/admission/program_admission.h
@@ -1,10 +1,8 @@
-// Whether a new program may begin now. Decision code: no I/O, no clock.
+// Admission control for new programs. Pure functions without I/O or clock.
 //
-// A program that has begun brings more turns for seconds. When more programs are under way than the engines
-// can carry, all of them get slower: turns wait, memory of lines is given up before their next turn and has
-// to be read again, programs end late and are under way for longer. That state keeps itself up after the
-// burst that began it. So new programs are told to come back while the engines are nearly full, and turns
-// of programs under way always go on.
+// Running too many programs at once is a metastable overload: turns queue, cached prompts are evicted before
+// their next turn, and slower programs raise the load further. New programs are therefore refused while the
+// engines are nearly full; turns of running programs are always admitted.
 #pragma once
 
 #include <algorithm>
@@ -15,31 +13,29 @@
 namespace martenyard::forwarding
 {
 
-/// @brief requests at the engines of a service, of all gateways as far as known
+/// @brief load of a service's engines, from all known gateways
 struct engine_load
 {
     std::uint32_t m_active = 0;
-    /// requests that the engines run at once; runners that leave don't count
+    /// total number of concurrent requests; draining runners are not counted
     std::uint32_t m_slots = 0;
 };
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct admission_options
 {
-    /// active requests for each slot from which on no new program begins. About a third of the programs
-    /// under way pause or call tools at any moment; measured in docs/design/0008
+    /// active requests per slot from which on new programs are refused; see docs/design/0008
     double m_most_load = 0.7;
-    /// of the time that a program has left, until a refused one may come back. Its objective is a multiple
-    /// of what it takes on idle engines, so a short program can't wait long and still end in time
+    /// retry delay of a refused program as a share of the time left until its deadline
     double m_pause_share = 0.05;
-    /// a client attempt takes a pause of a third of its time at most
+    /// clients accept a retry delay of at most a third of their attempt's time
     std::chrono::milliseconds m_longest_pause{1000};
     std::chrono::milliseconds m_least_pause{100};
 };
 
-/// @param[in] left    until the program should be over; nothing: it doesn't say
-/// @param[in] spread  0 to 1: those refused together come back apart
-/// @return when a refused new program may come back
+/// @param[in] remaining  time left until the program's deadline, if it has one
+/// @param[in] jitter     from 0 to 1; spreads the retries of programs refused together
+/// @return the retry delay of a refused program
 inline std::chrono::milliseconds program_pause(std::optional<std::chrono::milliseconds> left, double spread,
                                                const admission_options& options)
 {
--- a/src/forwarding/attempt.cc
+++ b/src/forwarding/attempt.cc
@@ -16,9 +16,9 @@
 
 namespace {
 
-/// Larger requests are sent while the answer is read: a runner may answer before it has read all.
+/// Larger requests are sent while reading: a runner may respond before it has read the whole body.
 constexpr std::size_t kInlineSendBytes = 4096;
-constexpr int kForeignAnswers = 4;  ///< Skipped on one connection before it is given up.
+constexpr int kForeignAnswers = 4;  ///< Skipped on one connection before it is closed.
 
 absl::string_view FieldOf(const async_http::HttpHead& head, const std::string& name) {
   auto found = head.find(name);
@@ -28,7 +28,7 @@
   return {found->value().data(), found->value().size()};
 }
 
-/// @return how an answer tells where it ends, for the log.
+/// @return how the end of the response is delimited, for the log.
 const char* FramingOf(const async_http::ResponseParser& parser) {
   if (parser.chunked()) {
     return "chunked";
@@ -61,7 +61,7 @@
   AttemptResult result;
   absl::Time began = SteadyNow();
   if (!co_await Connect(result)) {
-    // Nothing left: whatever ended it, the request has not run.
+    // Nothing was sent, so the request has not run, whatever the error was.
     bool gone = aborted_ && abort_end_ == AttemptEnd::kClientGone;
     result.end = gone ? AttemptEnd::kClientGone : AttemptEnd::kNotSent;
     co_return result;
@@ -142,7 +142,7 @@
     co_return false;
   }
   sending_ = true;
-  // Holds what it uses: the attempt may end before the body has left.
+  // The coroutine owns everything it uses: the attempt may end before the body is sent.
   auto done = std::make_shared<bool*>(&sending_);
   sending_done_ = done;
   async_http::asio::co_spawn(
@@ -178,7 +178,7 @@
       result.detail = "an answer without an id";
       co_return HeadEnd::kFailed;
     }
-    // A late answer to an earlier request; ours may follow.
+    // A late response to an earlier request; the expected one may follow.
     if (!co_await SkipForeignAnswer()) {
       result.detail = "a foreign answer";
       co_return HeadEnd::kFailed;
@@ -190,7 +190,7 @@
 
 Task<bool> Attempt::SkipForeignAnswer() {
   if (plan_.head_request) {
-    co_return false;  // Whether a body follows its head depends on a request that is not known.
+    co_return false;  // Whether it has a body depends on the method of the unknown request.
   }
   ReadStep step = ReadStep::kProgress;
   while (step == ReadStep::kProgress) {
--- a/src/forwarding/attempt.h
+++ b/src/forwarding/attempt.h
@@ -1,4 +1,4 @@
-// One attempt at one runner: connects, sends, and reads the answer as far as it comes.
+// One attempt to run a request on one runner: connects, sends the request, reads the response.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -14,64 +14,64 @@
 
 namespace martenyard::forwarding {
 
-/// What an attempt sends, and where.
+/// The request of one attempt and the runner it is sent to.
 struct AttemptPlan {
   discovery::Runner runner;
   std::string head;  ///< Request line and headers, without the body.
   std::shared_ptr<const std::string> body;
   RequestId request_id;
   bool head_request = false;
-  bool stream = false;  ///< A good answer is a stream of events.
-  absl::Time deadline;  ///< Then the attempt is given up.
+  bool stream = false;  ///< A successful response is an event stream.
+  absl::Time deadline;  ///< The attempt is aborted at this time.
   absl::Time first_byte_by = absl::InfiniteFuture();
 };
 
-/// A whole answer that is no stream.
+/// A response that was read to its end before it is forwarded.
 struct WholeAnswer {
   async_http::HttpHead head;
   std::string body;
 };
 
-/// What became of a stream's bytes.
+/// Result of forwarding a piece of a stream.
 enum class StreamStep {
-  kPassed,      ///< The client has what was whole of them.
-  kClientGone,  ///< The client can't be reached.
-  kOutOfPlace,  ///< The run does not go on after the last event that the client has.
+  kPassed,      ///< All complete events were sent to the client.
+  kClientGone,  ///< The client has disconnected.
+  kOutOfPlace,  ///< The stream does not continue after the last delivered event.
 };
 
-/// Takes a stream's parts as they come, of one attempt.
+/// Receives the streamed response of one attempt.
 class StreamSink {
  public:
   virtual ~StreamSink() = default;
-  /// The runner's head of a good stream. Told once.
+  /// Called once, with the head of a successful streamed response.
   virtual void OnHead(const async_http::HttpHead& head) = 0;
-  /// Bytes of the answer's body.
+  /// Called with each piece of the response body.
   virtual async_http::Task<StreamStep> OnBytes(std::string bytes) = 0;
-  /// The runner's answer has ended.
-  /// @param ended_by_close only the end of the connection told so, no length and no last chunk.
-  /// @return why the stream is not whole, for the log; null when it is.
+  /// Checks the stream once the runner's response has ended.
+  /// @param ended_by_close the response ended with the connection: no length, no last chunk.
+  /// @return the reason, for the log, why the stream is incomplete; null when it is complete.
   virtual const char* WhyIncomplete(bool ended_by_close) const = 0;
 };
 
 struct AttemptResult {
   AttemptEnd end = AttemptEnd::kNotSent;
-  WholeAnswer answer;            ///< Of `kAnswered` and `kNotRun`, unless a stream was passed on.
-  bool streamed = false;         ///< The answer went to the sink.
-  bool runner_leaves = false;    ///< It asked to close the connection.
-  bool wrong_runner = false;     ///< The address belongs to another by now.
-  bool sent = false;             ///< Some of the request left.
-  bool reused = false;           ///< On a kept connection.
-  const char* framing = "none";  ///< How the answer tells its end: see `FramingOf`.
+  WholeAnswer answer;            ///< Empty if it was streamed.
+  bool streamed = false;         ///< The response went to the sink.
+  bool runner_leaves = false;    ///< The runner asked to close the connection.
+  bool wrong_runner = false;     ///< The address now belongs to another runner.
+  bool sent = false;             ///< At least part of the request was sent.
+  bool reused = false;           ///< The connection came from the pool.
+  const char* framing = "none";  ///< How the end of the response is delimited: see `FramingOf`.
   std::string detail;            ///< For the log.
 };
 
-/// Can be ended from outside, by the client's leaving or by an alarm.
+/// Sends one request to one runner. `Abort` cancels it, e.g. when the client disconnects.
 class Attempt {
  public:
   Attempt(GatewayState& state, AttemptPlan plan) : state_(state), plan_(std::move(plan)) {}
 
   async_http::Task<AttemptResult> Run(StreamSink& sink);
-  /// Closes the connection to the runner at once; `Run` then ends soon with `end`.
+  /// Closes the connection to the runner; `Run` then returns with `outcome`.
   void Abort(AttemptEnd end);
 
  private:
@@ -83,7 +83,7 @@
   async_http::Task<bool> SkipForeignAnswer();
   async_http::Task<void> ReadWhole(AttemptResult& result);
   async_http::Task<void> PassStream(AttemptResult& result, StreamSink& sink);
-  /// @return why the stream is not whole, or null when it is.
+  /// @return the reason why the stream is incomplete, or null when it is complete.
   const char* WhyIncomplete(async_http::ReadStep last, const StreamSink& sink) const;
   void Finish(AttemptResult& result);
   AttemptEnd FailureEnd(AttemptEnd otherwise) const;
@@ -93,8 +93,8 @@
   std::shared_ptr<async_http::Connection> connection_;
   bool aborted_ = false;
   AttemptEnd abort_end_ = AttemptEnd::kNoAnswer;
-  bool sending_ = false;                 // The body is still on its way while the answer comes.
-  std::shared_ptr<bool*> sending_done_;  // Where the sender notes that the body has left.
+  bool sending_ = false;                 // The body is being sent while the response is read.
+  std::shared_ptr<bool*> sending_done_;  // Lets the sender clear `sending_`; reset by `Finish`.
 };
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/attempt_outcome.cc
+++ b/src/forwarding/attempt_outcome.cc
@@ -35,7 +35,7 @@
     case AttemptEnd::kNotRun:
       return AfterNotRun(situation);
     case AttemptEnd::kAnswered:
-      // A second head behind the first one's events would belong to no answer.
+      // The client already has a head and events; a second response can't follow them.
       return situation.answer_started && !situation.streamed ? AfterNoAnswer(situation)
                                                              : NextStep::kPassOn;
     case AttemptEnd::kNoAnswer:
--- a/src/forwarding/attempt_outcome.h
+++ b/src/forwarding/attempt_outcome.h
@@ -1,47 +1,47 @@
-// What the end of one attempt at a runner means for the request: a pure table.
+// Decides what to do with a request after an attempt at a runner has ended. Pure functions.
 //
-// The promise behind it: "not run" is said only of what never ran and never will, and what may have
-// run is sent again only if a second run does no harm.
+// Invariants: a request is reported as not run only if it has not run and never will, and a request
+// that may have run is sent again only if running it twice is safe.
 #pragma once
 
 #include "absl/time/time.h"
 
 namespace martenyard::forwarding {
 
-/// How an attempt ended, as seen on the connection to the runner.
+/// How an attempt ended, as observed on the connection to the runner.
 enum class AttemptEnd {
-  kNotSent,   ///< No byte of the request left.
-  kNotRun,    ///< The runner says that it did not and will not run it.
-  kAnswered,  ///< A whole answer of the runner's own, whatever its status.
-  kNoAnswer,  ///< Sent; then a reset, a close, silence, or bytes that are no answer.
-  kBrokeOff,  ///< The answer began and never ended properly.
-  kTimedOut,  ///< The request's time is over.
+  kNotSent,   ///< No byte of the request was sent.
+  kNotRun,    ///< The runner reports that it did not and will not run the request.
+  kAnswered,  ///< The runner sent a complete response, with any status.
+  kNoAnswer,  ///< Sent without a complete response: closed, timeout or malformed.
+  kBrokeOff,  ///< A streamed response did not end properly.
+  kTimedOut,  ///< The request's deadline has passed.
   kClientGone,
 };
 
-/// What may still be done for the request.
+/// The facts about a request that determine its next step.
 struct RequestSituation {
-  bool repeatable = false;      ///< A second run does no harm.
-  bool can_resume = false;      ///< A stream that began may go on elsewhere.
-  bool answer_started = false;  ///< The client has the head of an answer.
-  bool may_have_run = false;    ///< By an earlier attempt.
-  int attempts_left = 0;        ///< Runners that it may still be sent to.
+  bool repeatable = false;      ///< Running it twice is safe.
+  bool can_resume = false;      ///< A started stream can be continued by another runner.
+  bool answer_started = false;  ///< The client has received the head of a response.
+  bool may_have_run = false;    ///< In any attempt so far.
+  int attempts_left = 0;        ///< Number of runners it may still be sent to.
   absl::Duration time_left;
-  bool streamed = false;  ///< The attempt's answer went to the client as it came.
+  bool streamed = false;  ///< The attempt's response was streamed to the client.
 };
 
 enum class NextStep {
-  kPassOn,      ///< Give the client the runner's answer.
-  kTryAnother,  ///< Send it to another runner, from its start.
-  kResume,      ///< Send it to another runner, from the last event on.
-  kRefuse,      ///< 503: it has not run and never will; come back later.
-  kFail,        ///< 502: it may have run.
-  kTimeOut,     ///< 504: it may have run.
-  kBreak,       ///< Break the client's connection, so that nothing looks complete.
-  kNothing,     ///< The client is gone.
+  kPassOn,      ///< Forward the runner's response to the client.
+  kTryAnother,  ///< Send the request to another runner, from the start.
+  kResume,      ///< Continue the stream on another runner, after the last event.
+  kRefuse,      ///< 503: the request has not run and will not; retry later.
+  kFail,        ///< 502: the request may have run.
+  kTimeOut,     ///< 504: the request may have run.
+  kBreak,       ///< Close the client's connection so that the response is not taken as complete.
+  kNothing,     ///< The client has disconnected.
 };
 
-/// Below this much time left, another attempt is of no use.
+/// No further attempt is made with less time left than this.
 inline constexpr absl::Duration kLeastUsefulTime = absl::Milliseconds(15);
 
 NextStep DecideNextStep(AttemptEnd end, const RequestSituation& situation);
--- a/src/forwarding/connection_pool.cc
+++ b/src/forwarding/connection_pool.cc
@@ -6,9 +6,9 @@
 namespace martenyard::forwarding {
 namespace {
 
-/// A peer that said nothing about it is expected to keep a connection this long.
+/// Assumed keep-alive time of a peer that sent none.
 constexpr absl::Duration kAssumedKeep = absl::Seconds(4);
-/// A connection is not used again this shortly before the peer closes it.
+/// Idle connections are not reused within this time before the peer closes them.
 constexpr absl::Duration kKeepMargin = absl::Milliseconds(400);
 
 bool IsExpired(const async_http::Connection& connection, absl::Time now) {
--- a/src/forwarding/connection_pool.h
+++ b/src/forwarding/connection_pool.h
@@ -1,4 +1,4 @@
-// Kept connections to runners, by runner id: an address may pass to another runner.
+// Idle connections by runner id, since an address may be reassigned to another runner.
 #pragma once
 
 #include <cstdint>
@@ -11,23 +11,23 @@
 
 namespace martenyard::forwarding {
 
-/// On the loop's thread only.
+/// Not thread-safe: for the event loop's thread only.
 class ConnectionPool {
  public:
-  /// @return an idle connection that is still good, or null.
+  /// @return an idle connection that is still usable, or null.
   std::shared_ptr<async_http::Connection> Take(const discovery::RunnerId& runner, absl::Time now);
-  /// Keeps `connection` for later requests.
+  /// Adds `connection` to the idle ones for later requests.
   void Return(const discovery::RunnerId& runner, std::shared_ptr<async_http::Connection> connection,
               absl::Time now);
-  /// Closes idle connections of runners that left, and those idle too long.
+  /// Closes connections that have been idle for too long.
   void Prune(absl::Time now);
   void CloseAll(const discovery::RunnerId& runner);
 
-  /// Connections to the runner that are open, idle or in use.
+  /// @return the number of open connections to the runner, idle or in use.
   std::uint32_t Open(const discovery::RunnerId& runner) const;
   std::uint32_t Idle(const discovery::RunnerId& runner) const;
   void NoteOpened(const discovery::RunnerId& runner) { ++open_[runner]; }
-  /// A connection that was opened or taken is closed now and will not be returned.
+  /// Counts a connection as closed; it must not be returned afterwards.
   void NoteClosed(const discovery::RunnerId& runner);
 
  private:
--- a/src/forwarding/forwarder.h
+++ b/src/forwarding/forwarder.h
@@ -1,4 +1,4 @@
-// Forwards client requests to runners: admits, chooses, sends, and passes answers on.
+// Forwards client requests to runners and their responses to the clients.
 #pragma once
 
 #include <memory>
@@ -8,7 +8,7 @@
 
 namespace martenyard::forwarding {
 
-/// Handles one exchange from its request to its final answer.
+/// Handles one exchange, from the request to the final response.
 async_http::Task<void> Forward(std::shared_ptr<GatewayState> state,
                                std::shared_ptr<async_http::Exchange> exchange);
 
--- a/src/forwarding/gateway_metrics.h
+++ b/src/forwarding/gateway_metrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms of a gateway, in Prometheus' text format.
+// Counters, gauges and latency histograms of a gateway, in the Prometheus text format.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -14,14 +14,14 @@
 
 namespace martenyard::forwarding {
 
-/// A request's stages, timed one by one.
+/// Stages of a request with a latency histogram each.
 enum class Stage { kQuota, kLedger, kConnect, kFirstByte, kWhole };
 
 class GatewayMetrics {
  public:
   GatewayMetrics();
 
-  /// @param outcome one of docs/LOGS.md's outcomes.
+  /// @param outcome one of the outcomes listed in docs/LOGS.md.
   void CountRequest(const std::string& outcome);
   void CountAttempt(const std::string& end);
   void Observe(Stage stage, absl::Duration took);
--- a/src/forwarding/gateway_state.h
+++ b/src/forwarding/gateway_state.h
@@ -1,4 +1,4 @@
-// What a gateway knows and uses while it forwards: shared by all requests of the process.
+// State and services shared by all requests of a gateway process.
 #pragma once
 
 #include <functional>
@@ -26,32 +26,31 @@
 
 namespace martenyard::forwarding {
 
-/// Tunables of forwarding.
+/// Options of request forwarding.
 struct ForwardingOptions {
   ChoiceOptions choice;
   absl::Duration connect_timeout = absl::Milliseconds(250);
-  /// Kept over from the deadline for the answer's way back.
+  /// Subtracted from the deadline to leave time for the response to reach the client.
   absl::Duration answer_margin = absl::Milliseconds(10);
-  absl::Duration retry_after = absl::Milliseconds(200);  ///< Told with a refusal.
+  absl::Duration retry_after = absl::Milliseconds(200);  ///< Sent with 503 responses.
   admission_options admission;
-  /// Told while the configuration may be too old for API keys: the store is away, and that lasts
-  /// for seconds. A program under way survives it if its few tries are spread over them.
+  /// Mean Retry-After while the configuration lease is lost. Store outages last for seconds, and a
+  /// running program survives one if its few retries are spread over it.
   absl::Duration lease_pause = absl::Milliseconds(800);
-  absl::Duration ledger_patience = absl::Milliseconds(900);  ///< Then the turn is refused.
-  absl::Duration quota_patience = absl::Milliseconds(600);   ///< Then the request is refused.
-  /// For a kept turn's commit, at the least; otherwise until the request's deadline.
+  absl::Duration ledger_patience = absl::Milliseconds(900);  ///< For reserving a turn.
+  absl::Duration quota_patience = absl::Milliseconds(600);   ///< For the quota check.
+  /// Minimum time allowed for committing a stored turn; a later request deadline extends it.
   absl::Duration commit_patience = absl::Seconds(2);
   absl::Duration settle_patience = absl::Seconds(20);
-  /// A process that has just started learns the configuration and the ledger in some ten
-  /// milliseconds. What comes meanwhile waits this long at most before it is refused.
+  /// Maximum wait of a request for the configuration, the ledger groups or the lease, which are
+  /// not known in the first milliseconds after the start of the process.
   absl::Duration start_patience = absl::Milliseconds(250);
-  /// A repeatable request without a first byte for this many target latencies goes elsewhere.
+  /// First-byte timeout of repeatable requests, as a multiple of the route's target latency.
   double silence_targets = 4;
   absl::Duration least_silence = absl::Milliseconds(600);
-  bool uses_turn_places = true;  ///< Where the turn before ran, as the ledger tells it.
-  bool reads_replicas =
-      true;  ///< Chains come from any replica, not only with the leader's verdict.
-  /// Leaving runners, if there is no other; the role derives it from the deployment's bound.
+  bool uses_turn_places = true;  ///< Use the ledger's place of the previous turn as a hint.
+  bool reads_replicas = true;    ///< Read turn chains from any replica, not only from the leader.
+  /// How long a draining runner may still be chosen if there is no other; set by the gateway role.
   absl::Duration gone_usable = absl::Milliseconds(1200);
 };
 
@@ -75,21 +74,22 @@
   GatewayMetrics metrics;
   Random random{SystemSeed()};
 
-  std::shared_ptr<const RouteTable> routes;  ///< Null until a configuration is known.
-  async_http::Signal informed;         ///< A configuration or the ledger's groups became known.
-  tenancy::configuration_lease lease;  ///< For how long API keys may be taken.
-  bool store_reachable = false;        ///< The configuration is known to be the newest.
+  std::shared_ptr<const RouteTable> routes;  ///< Null until the first configuration is loaded.
+  async_http::Signal informed;               ///< Notified on new routes, ledger groups or lease.
+  tenancy::configuration_lease lease;        ///< API keys are accepted while it is held.
+  bool store_reachable = false;              ///< The configuration is known to be current.
   discovery::RunnerTable runners;
-  id_steps id_steps_of_services;  ///< Of the services' event ids.
+  id_steps id_steps_of_services;  ///< Event id strides by service.
   PrefixIndex prefixes{absl::Seconds(30), 40000};
   ConnectionPool pool;
   TurnCache turns{std::uint64_t{2} << 20};
   std::unique_ptr<turn_ledger::LedgerClient> ledger;
   std::unique_ptr<quota_client> quotas;
   std::unique_ptr<turn_ledger::chain_reader> chains;
-  bool relaying = false;       ///< The ledger is reached through peers only.
-  std::uint32_t gateways = 1;  ///< That share the runners' connections.
-  /// Told of each piece of a prompt that a runner is about to read, for the other gateways.
+  bool relaying = false;       ///< The ledger is reached only through peers.
+  std::uint32_t gateways = 1;  ///< Gateways that share the runners' connection limits.
+  /// Called with the last prompt part of a request when a runner starts processing it; used to
+  /// inform the other gateways.
   std::function<void(const PromptPart& part, std::uint32_t runner)> on_placement;
 };
 
--- a/src/forwarding/header_names.h
+++ b/src/forwarding/header_names.h
@@ -1,5 +1,5 @@
-// The names of the headers that requests and answers carry, as data: the adapter of a platform
-// gives its own, the product's defaults stand here.
+// The names of the HTTP headers of requests and responses. The defaults are listed here; a platform
+// adapter provides its own.
 #pragma once
 
 #include <string>
@@ -9,24 +9,24 @@
 
 struct HeaderNames {
   std::string request_id = "Request-Id";
-  std::string deadline_ms = "Deadline";       ///< Milliseconds the client still waits.
-  std::string affinity_cookie = "Affinity";   ///< A cookie: requests on the same object.
-  std::string prompt_parts = "Prompt-Parts";  ///< ID:TOKENS, separated by commas.
+  std::string deadline_ms = "Deadline";       ///< Remaining time of the client in milliseconds.
+  std::string affinity_cookie = "Affinity";   ///< Cookie shared by requests on the same object.
+  std::string prompt_parts = "Prompt-Parts";  ///< Comma-separated list of ID:TOKENS.
   std::string last_event_id = "Last-Event-Id";
   std::string expected_runner = "Expected-Runner";
   std::string runner_id = "Runner-Id";
-  std::string not_run = "Not-Run";  ///< The runner did not run the request.
+  std::string not_run = "Not-Run";  ///< Set by a runner that did not run the request.
   std::string retry_after = "Retry-After";
-  std::string token_usage = "Tokens";  ///< "PROMPT,MOST OUT".
+  std::string token_usage = "Tokens";  ///< "PROMPT_TOKENS,MAX_OUTPUT_TOKENS".
   std::string priority = "Priority-Rank";
   std::string program = "Program";
   std::string program_deadline_ms = "Program-Deadline";
   std::string token_budget = "Budget";
   std::string previous_turn = "Previous";
-  std::string api_key = "Api-Key";  ///< Of a tenant; never passed on.
-  std::string tenant = "Tenant";    ///< Names the key's tenant to the runner.
-  /// Further headers that only this system may send to a runner: what a client sends under such a
-  /// name is dropped, whatever it says.
+  std::string api_key = "Api-Key";  ///< Of a tenant; never forwarded to runners.
+  std::string tenant = "Tenant";    ///< Name of the API key's tenant, sent to runners.
+  /// Other headers that only this system may send to runners; they are removed from client
+  /// requests.
   std::vector<std::string> internal = {"Hold", "Pin", "Copy-To", "Copy-From"};
 };
 
--- a/src/forwarding/history/history_fetch.cc
+++ b/src/forwarding/history/history_fetch.cc
@@ -14,7 +14,7 @@
 
 using async_http::Task;
 
-/// a reader ends by itself long before; this only bounds one wake-up
+/// upper bound of a single wait; the readers have shorter timeouts of their own
 constexpr std::chrono::seconds wait_bound{1};
 
 std::optional<turn_ledger::TurnId> turn_of(const std::optional<RequestId>& request)
@@ -63,7 +63,7 @@
                                ProgramId program, RequestId previous)
 {
     std::optional<RequestId> known = state->turns.LatestOf(program);
-    // Held from now on: the cache may drop it meanwhile.
+    // Holds a reference, since the cache may evict the chain meanwhile.
     std::shared_ptr<const std::string> known_chain = known ? state->turns.Find(*known) : nullptr;
     auto reply = co_await state->chains->read(state->ledger->GroupOf(program),
                                               turn_ledger::TurnId(previous.value), turn_of(known));
@@ -97,7 +97,7 @@
 namespace
 {
 
-/// What the searching coroutines share.
+/// state shared by the coroutines of one search
 struct search_state
 {
     explicit search_state(async_http::asio::io_context& context) : m_arrived(context)
--- a/src/forwarding/history/history_fetch.h
+++ b/src/forwarding/history/history_fetch.h
@@ -1,4 +1,4 @@
-// Gets the chain of the turn that a request goes on from, while the turn ledger admits the request.
+// Loads the chain of the previous turn while the turn ledger admits the request.
 #pragma once
 
 #include <memory>
@@ -14,49 +14,47 @@
 {
     none,
     cache,
-    /// a replica sent what followed a turn in the cache
+    /// a cached chain, continued with the turns that a replica sent
     cache_and_replica,
     replica,
-    /// the leader, with its verdict
+    /// the group's leader, sent with its verdict
     leader,
-    /// another group's leader: the turn is another program's
+    /// the leader of another group, for a turn of another program
     other_group,
 };
 
-/// @brief asks all groups but one for a turn: programs may go on from other programs' turns
+/// @brief result of searching the other groups for a turn that belongs to another program
 struct foreign_search
 {
-    /// every group answered: when there is no chain, there is no such turn
+    /// all groups have replied: without a chain, the turn does not exist
     bool m_complete = false;
     /// null when no group had the turn
     std::shared_ptr<const std::string> m_chain;
 };
 
-/// @param[in] own  the group that was asked already
-/// @return what the other groups know; they are asked at the same time
+/// @brief asks all groups except `own` for a turn concurrently
 async_http::Task<foreign_search> search_other_groups(std::shared_ptr<GatewayState> state, GroupId own,
                                                      RequestId turn, absl::Time deadline);
 
-/// @return the source's name in log lines
+/// @return the name used in log lines
 const char* name_of(history_source source);
 
-/// @brief one request's chain on its way
+/// @brief asynchronous load of the chain of one request
 class history_fetch
 {
   public:
-    /// begins at once: in this gateway's cache, else at the replicas
+    /// starts the load: from this gateway's cache, else from the replicas
     history_fetch(const std::shared_ptr<GatewayState>& state, const ProgramId& program,
                   const RequestId& previous);
 
-    /// @brief waits until the cache or the replicas have told
-    /// @return the chain up to and with the previous turn, or null: then only the leader can tell
+    /// @brief waits for the load to complete
+    /// @return the chain up to and including the previous turn, or null if only the leader can provide it
     async_http::Task<std::shared_ptr<const std::string>> wait();
 
-    /// @return where the chain came from
     history_source source() const;
 
   private:
-    /// Shared with the reading coroutine, which may outlive the request.
+    /// shared with the loading coroutine, which may outlive the request
     struct shared_part
     {
         explicit shared_part(async_http::asio::io_context& context) : m_arrived(context)
--- a/src/forwarding/prefix_index.cc
+++ b/src/forwarding/prefix_index.cc
@@ -63,7 +63,7 @@
     }
     tokens += std::min(part.tokens, holder->tokens);
     if (holder->tokens < part.tokens) {
-      return tokens;  // What follows was not read behind the whole piece.
+      return tokens;  // Later parts are cached behind a shorter version of this.
     }
   }
   return tokens;
--- a/src/forwarding/prefix_index.h
+++ b/src/forwarding/prefix_index.h
@@ -1,5 +1,5 @@
-// Which runner read which pieces of prompts lately, as far as this gateway knows. A hint: engines
-// drop pieces without telling.
+// Estimates which prompt parts each runner holds in its prefix cache. A hint only: engines evict
+// parts without notice.
 #pragma once
 
 #include <cstdint>
@@ -13,20 +13,21 @@
 
 class PrefixIndex {
  public:
-  /// @param lifetime how long a piece unused is still believed to be kept.
-  /// @param capacity pieces remembered at most.
+  /// @param lifetime how long an unused part is assumed to stay cached.
+  /// @param capacity maximum number of parts.
   PrefixIndex(absl::Duration lifetime, std::size_t capacity)
       : lifetime_(lifetime), capacity_(capacity) {}
 
-  /// `runner` (a short id) read the piece, as long as it was then: a session's piece grows.
+  /// Records that `runner` (a short id) has read `part` with its present number of tokens; the part
+  /// of a session grows with each turn.
   void Note(absl::Time now, const PromptPart& part, std::uint32_t runner);
   void NoteAll(absl::Time now, const std::vector<PromptPart>& prompt, std::uint32_t runner);
-  /// `runner` read the first `tokens` tokens of the prompt.
+  /// Records that `runner` has read the first `tokens` tokens of the prompt.
   void NoteBeginning(absl::Time now, const std::vector<PromptPart>& prompt, std::uint32_t tokens,
                      std::uint32_t runner);
-  /// `runner` has started again: it keeps nothing.
+  /// Removes all entries of `runner`, whose cache is empty after a restart.
   void Forget(std::uint32_t runner);
-  /// @return how many leading tokens of `prompt` the runner is believed to keep.
+  /// @return the number of leading tokens of `prompt` that the runner is assumed to have cached.
   std::uint32_t KeptTokens(absl::Time now, const std::vector<PromptPart>& prompt,
                            std::uint32_t runner) const;
   std::size_t size() const { return holders_.size(); }
--- a/src/forwarding/quota/quota_client.cc
+++ b/src/forwarding/quota/quota_client.cc
@@ -14,10 +14,10 @@
 namespace
 {
 
-/// Requests in one question: it and its answer stay below a packet.
+/// limit that keeps the frames of a batch and its reply within one packet
 constexpr std::size_t most_requests = 100;
 
-/// The slack is for all gateways together, so none of it is one gateway's own.
+/// The slack is shared by all gateways, so the local limiter of one gateway gets none.
 tenancy::quota_bounds bounds_of_share(tenancy::quota_bounds bounds)
 {
     bounds.m_slack = 0;
@@ -41,13 +41,13 @@
     tenancy::instant now = SteadyInstant();
     if (now - m_own_used > m_window)
     {
-        m_own_share.reset(now);  // Somebody else counted until now, and may have let a burst in.
+        m_own_share.reset(now);  // The ledger has counted since and may have granted the burst.
     }
     m_own_used = now;
     double gateways = std::max<std::uint32_t>(1, m_gateways());
     request.m_limit.m_rate /= gateways;
     request.m_limit.m_burst /= gateways;
-    // The share changes with the number of gateways: the latest one counts.
+    // A new version each time, since the share changes with the number of gateways.
     request.m_version = ++m_own_decisions;
     return m_own_share.take(now, request);
 }
@@ -84,7 +84,7 @@
     {
         co_await ask_once(tenant);
     }
-    // Nothing is kept of a tenant that is quiet: a configuration may have taken it away.
+    // Idle tenants are removed, since a new configuration may no longer have them.
     m_queues.erase(tenant);
 }
 
@@ -103,7 +103,7 @@
     }
     ++m_questions;
     GroupId group = m_ledger.GroupOf(ProgramId(tenant));
-    // Named, since GCC 12 destroys a braced temporary among a co_await's arguments twice.
+    // A named variable, since GCC 12 destroys braced temporaries in co_await arguments twice.
     turn_ledger::Operation operation = turn_ledger::TakeQuota{request};
     turn_ledger::CallResult result = co_await m_ledger.Call(group, std::move(operation), deadline);
     if (result.end == turn_ledger::CallEnd::kUnsupported)
--- a/src/forwarding/quota/quota_client.h
+++ b/src/forwarding/quota/quota_client.h
@@ -1,5 +1,5 @@
-// A gateway's way to the tenants' limits: asks whoever counts the requests of a tenant, and puts requests of
-// one tenant that come together into one question.
+// Checks requests against the tenants' quotas, which are counted by the ledger groups. Concurrent requests of
+// one tenant are sent as one batch.
 #pragma once
 
 #include <chrono>
@@ -17,54 +17,54 @@
 namespace martenyard::forwarding
 {
 
-/// @brief whether a request is within its tenant's limit
+/// @brief result of a quota check
 enum class quota_verdict
 {
     granted,
     refused,
-    /// nobody answered in time
+    /// no reply before the deadline
     unknown,
 };
 
 struct quota_decision
 {
     quota_verdict m_verdict = quota_verdict::unknown;
-    /// the request may go on after this time
+    /// delay before a granted request may continue
     std::chrono::milliseconds m_wait{0};
-    /// a refused one may come back after this time
+    /// delay before a refused request may be retried
     std::chrono::milliseconds m_retry_after{0};
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class quota_client
 {
   public:
     /// @param[in] ledger  must outlive the client
-    /// @param[in] bounds  how exactly limits hold
-    /// @param[in] gateways  tells how many gateways there are
+    /// @param[in] bounds  accuracy of the rate limits
+    /// @param[in] gateway_count  returns the current number of gateways
     quota_client(async_http::asio::io_context& context, turn_ledger::LedgerClient& ledger,
                  const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateways);
 
-    /// @brief asks whether one request of a tenant may go on
-    /// @param[in] version  of the configuration that has the tenant
-    /// @param[in] program  a hash of the program's id, 0 outside programs
+    /// @brief checks one request against the quota of its tenant
+    /// @param[in] version  version of the configuration that `tenant` is from
+    /// @param[in] program  hash of the program id, 0 for requests outside of programs
     async_http::Task<quota_decision> admit(const tenancy::tenant& tenant, std::uint64_t version,
                                            std::uint64_t program, absl::Time deadline);
 
-    /// @return decisions by this gateway's own share of a limit
+    /// @return number of decisions by the local limiter
     std::uint64_t own_decisions() const
     {
         return m_own_decisions;
     }
 
-    /// @return questions asked since the start
+    /// @return number of batches sent to the ledger
     std::uint64_t questions() const
     {
         return m_questions;
     }
 
   private:
-    /// A request that waits for its decision.
+    /// a request that waits for its decision
     struct waiting
     {
         explicit waiting(async_http::asio::io_context& context) : m_decided(context)
@@ -77,7 +77,7 @@
         quota_decision m_decision;
     };
 
-    /// Of one tenant.
+    /// the pending requests of one tenant
     struct queue
     {
         tenancy::rate_limit m_limit;
@@ -89,8 +89,7 @@
     async_http::Task<void> ask(std::string tenant);
     async_http::Task<void> ask_once(std::string tenant);
 
-    /// @brief decides by this gateway's share of the limit: nobody counts for all gateways while a ledger
-    ///        leads whose build has no limits
+    /// @brief decides by this gateway's share of the limit, for ledger leaders of builds without quotas
     tenancy::quota_answer take_own_share(tenancy::quota_request request);
 
     async_http::asio::io_context& m_context;
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -1,5 +1,5 @@
-// RequestRun's admission: finds the route, checks the API key, reserves the turn's tokens, and
-// fetches the history that a kept turn goes on from.
+// Admission part of RequestHandler: finds the route, checks the API key and the tenant's quota,
+// reserves the turn's tokens and loads the history of the previous turns.
 #include <algorithm>
 #include <utility>
 
@@ -20,7 +20,7 @@
 
 absl::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-/// A point in [0, 1) for the choice of a split route's part.
+/// @return a point in [0, 1) that selects the service of a split route, stable within a program.
 double SplitPoint(const RequestInfo& info, Random& random) {
   if (!info.program.value.empty()) {
     return StableUnitPoint(info.program.value);
@@ -30,8 +30,6 @@
 
 }  // namespace
 
-// ---- Admission ----
-
 absl::Duration RequestRun::TimeLeft() const { return deadline_ - SteadyNow(); }
 
 bool RequestRun::Knows(Knowledge what) const {
@@ -144,7 +142,7 @@
     co_await Refuse("the tenant's requests could not be counted");
     co_return false;
   }
-  // Up to a quarter more, so that those refused together come back apart.
+  // Jitter of up to 25 %, so that clients refused together don't retry together.
   absl::Duration pause =
       absl::FromChrono(decision.m_retry_after) * (1 + state_->random.Uniform() / 4);
   co_await AnswerOwn(429, "the tenant's limit is reached", pause);
@@ -168,7 +166,7 @@
 }
 
 Task<void> RequestRun::RefuseWithoutLease(absl::string_view reason) {
-  // A quarter more or less, so that those refused together come back apart.
+  // Jitter of +-25 %, so that clients refused together don't retry together.
   absl::Duration pause = state_->options.lease_pause * (0.75 + 0.5 * state_->random.Uniform());
   co_await AnswerOwn(503, reason, pause);
 }
@@ -199,7 +197,7 @@
     co_return true;
   }
   if (keeps && !info_.last_event_id.empty()) {
-    // What the client had before is not known here: the turn would be kept without it.
+    // The events that the client already has are unknown here and can't be stored.
     co_await AnswerOwn(503, "a turn that is kept is answered from its start only", std::nullopt);
     co_return false;
   }
@@ -224,7 +222,7 @@
     reserve.has_previous = true;
     bool readable = state_->options.reads_replicas && !state_->relaying;
     if (!readable && state_->turns.Find(*previous_turn_) == nullptr) {
-      reserve.has_previous = false;  // The replicas can't be read: the answer brings the chain.
+      reserve.has_previous = false;  // Replicas can't be read: the leader sends the chain.
     } else {
       fetch.emplace(state_, program_, *previous_turn_);
     }
@@ -331,7 +329,7 @@
                                                                absl::Time patience) {
   foreign_search search = co_await search_other_groups(state_, group_, *previous_turn_, patience);
   if (search.m_chain != nullptr) {
-    // Kept from now on in this program's group, as the new turn's own beginning.
+    // The chain is stored in this program's group as the start of the new turn.
     foreign_history_ = search.m_chain;
     reserve.previous.reset();
     co_return co_await state_->ledger->Call(group_, reserve, patience);
@@ -362,7 +360,7 @@
   std::shared_ptr<const std::string> chain = co_await fetch.wait();
   history_source source = fetch.source();
   if (chain == nullptr) {
-    // No replica asked had it yet. The same reservation again is no second one.
+    // No replica had the chain yet: ask the leader. Repeating a reservation is idempotent.
     reserve.has_previous = false;
     auto result = co_await state_->ledger->Call(group_, reserve, patience);
     if (!result || result->verdict != turn_ledger::Verdict::kDone) {
--- a/src/forwarding/request_choice.cc
+++ b/src/forwarding/request_choice.cc
@@ -1,4 +1,4 @@
-// RequestRun's choice of a runner: what is known of each, and what its loss would cost.
+// Runner selection of RequestHandler: collects the candidates and their costs.
 #include <algorithm>
 #include <utility>
 
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Engines know the ranks 0 to 9. A tenant's priority comes before its routes', of which three are
-/// told apart.
+/// Engines accept the ranks 0 to 9. Requests are ranked by tenant priority first, then by one of
+/// three route priorities.
 constexpr int kRoutePriorities = 3;
 constexpr int kLastPriority = 9;
 
@@ -71,7 +71,7 @@
   }
   auto choice = ChooseRunner(candidates, request, state_->options.choice);
   if (!choice) {
-    // Another part of a split route may have one.
+    // Try the other services of a split route.
     for (const WeightedService& part : route_->services) {
       if (choice || part.service == service_name_) {
         continue;
--- a/src/forwarding/request_info.h
+++ b/src/forwarding/request_info.h
@@ -1,4 +1,4 @@
-// What a request says of itself in its headers, typed.
+// Parses the headers of a request that are relevant to forwarding.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -14,10 +14,10 @@
 
 namespace martenyard::forwarding {
 
-/// One client attempt's id; a client's retry carries another.
+/// Id of one client attempt; each retry of the client has its own.
 using RequestId = TypedId<struct RequestTag, std::string>;
 
-/// A piece of a prompt. Requests share pieces; a runner that kept one needn't read it again.
+/// A part of a prompt. Parts are shared between requests and cached by the runners' engines.
 struct PromptPart {
   std::uint64_t id = 0;  ///< A hash of the part's name.
   std::uint32_t tokens = 0;
@@ -25,22 +25,22 @@
 
 struct RequestInfo {
   RequestId id;
-  std::optional<absl::Duration> deadline;  ///< How long the client still waits.
-  std::string affinity;                    ///< Empty when the request names no object.
-  std::vector<PromptPart> prompt;          ///< In order; the last is the request's own.
+  std::optional<absl::Duration> deadline;  ///< Remaining time of the client.
+  std::string affinity;                    ///< Empty without an affinity cookie.
+  std::vector<PromptPart> prompt;          ///< In order; the last part is the request's own.
   std::uint32_t prompt_tokens = 0;
   std::uint32_t most_output_tokens = 0;
-  ProgramId program;                          ///< Empty outside programs.
-  std::optional<std::uint64_t> token_budget;  ///< What the program may generate in all.
-  std::optional<RequestId> previous_turn;     ///< The turn that this one goes on from.
+  ProgramId program;                          ///< Empty for requests outside of programs.
+  std::optional<std::uint64_t> token_budget;  ///< Output tokens allowed for the whole program.
+  std::optional<RequestId> previous_turn;     ///< The turn that this one continues.
   std::optional<absl::Duration> program_deadline;
-  std::string last_event_id;  ///< Of the last event that the client has; empty: none.
+  std::string last_event_id;  ///< The last event that the client has received; may be empty.
 };
 
-/// Reads the headers. Unreadable values count as absent.
+/// Parses the headers. Malformed values are treated as absent.
 RequestInfo ReadRequestInfo(const boost::beast::http::fields& fields, const HeaderNames& names);
 
-/// @return the value of cookie `name` in a Cookie header's text; empty when it is not there.
+/// @return the value of cookie `name` in the value of a Cookie header, or empty if absent.
 absl::string_view FindCookie(absl::string_view cookies, absl::string_view name);
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/request_run.cc
+++ b/src/forwarding/request_run.cc
@@ -66,8 +66,6 @@
   SettleLater(TokensDelivered());
 }
 
-// ---- Trying ----
-
 std::string RequestRun::RequestHead(const discovery::Runner& runner) const {
   const auto& request = exchange_->request();
   const HeaderNames& names = state_->names;
@@ -78,7 +76,7 @@
     fields.set(names.tenant, tenant_->m_name);
   }
   if (!info_.id.value.empty()) {
-    fields.set(names.request_id, info_.id.value);  // Also where a Connection header lists it.
+    fields.set(names.request_id, info_.id.value);  // Even if a Connection header lists it.
   }
   absl::Duration left = std::max(TimeLeft(), absl::Milliseconds(1));
   fields.set(names.deadline_ms, absl::StrCat(absl::ToInt64Milliseconds(left)));
@@ -112,7 +110,7 @@
   plan.head_request = exchange_->request().method() == http::verb::head;
   plan.stream = route_->kind == RouteKind::kStream;
   plan.deadline = deadline_;
-  // Giving up on a silent runner helps only where another one may get the request.
+  // A first-byte timeout is useful only if the request may be sent to another runner.
   bool another_may = route_->Repeatable() && sent_to_ + 1 < route_->max_attempts;
   if (another_may) {
     absl::Duration silence = std::max(route_->target_latency * state_->options.silence_targets,
@@ -211,7 +209,7 @@
   discovery::request_outcomes outcome;
   switch (result.end) {
     case AttemptEnd::kAnswered: {
-      // A tool's own failure is its answer; a turn that its engine failed is lost.
+      // A 5xx of a tool is its result; a 5xx of an engine means that the turn is lost.
       bool failed = streams && !result.streamed && result.answer.head.result_int() >= 500;
       (failed ? outcome.m_lost : outcome.m_served) = 1;
       break;
@@ -242,7 +240,7 @@
     }
     AttemptEnd end = AttemptEnd::kNotSent;
     AttemptResult result;
-    // What a run leaves unfinished ends with it: the next one begins without its head and bytes.
+    // One forwarder per attempt: the head and partial event of a failed attempt are discarded.
     stream_run run(*exchange_, passed_, [this] { NotePlacement(); });
     RequestSituation situation = Situation();
     if (runner) {
@@ -251,9 +249,9 @@
       situation = Situation();
       situation.streamed = result.streamed;
     } else {
-      situation.attempts_left = 0;  // There is nobody to send it to.
+      situation.attempts_left = 0;  // No runner is available.
     }
-    // A client's own fault is told by the runner's answer, also where it did not run.
+    // A 400 of the runner is forwarded even if the request did not run.
     bool client_fault = end == AttemptEnd::kNotRun && !situation.answer_started &&
                         result.answer.head.result_int() == 400;
     switch (client_fault ? NextStep::kPassOn : DecideNextStep(end, situation)) {
@@ -290,11 +288,9 @@
   }
 }
 
-// ---- Answering ----
-
 void RequestRun::NotePlacement() {
   state_->prefixes.NoteAll(SteadyNow(), info_.prompt, last_runner_);
-  // Of kept turns the ledger tells it, to whichever gateway gets the next one.
+  // For stored turns the ledger provides the placement to any gateway.
   if (!info_.prompt.empty() && !route_->keeps_turns && state_->on_placement) {
     state_->on_placement(info_.prompt.back(), last_runner_);
   }
--- a/src/forwarding/request_run.h
+++ b/src/forwarding/request_run.h
@@ -1,4 +1,4 @@
-// One client request on its way: its route, its deadline, its tries, and what the client got.
+// Handles one client request: admission, runner selection, attempts, response and settlement.
 #pragma once
 
 #include <memory>
@@ -21,75 +21,76 @@
  public:
   RequestRun(std::shared_ptr<GatewayState> state, std::shared_ptr<async_http::Exchange> exchange);
 
-  /// Handles the request to its end.
+  /// Handles the request until the response is sent or the client has disconnected.
   async_http::Task<void> Run();
 
  private:
-  /// What a process learns soon after its start.
+  /// State that is not available immediately after the start of the process.
   enum class Knowledge { kRoutes, kLedgerGroups, kLease };
   bool Knows(Knowledge what) const;
-  /// Waits a little where this process has only just started.
+  /// Waits until `prerequisite` is available, for at most the start-up timeout or a quarter of the
+  /// request's time.
   async_http::Task<void> WaitFor(Knowledge what);
-  /// Finds the route; answers itself when there is none. @return false when it answered.
+  /// Finds the route. @return false if it sent an error.
   async_http::Task<bool> FindRoute();
-  /// Checks the API key and names the tenant; answers itself when the key opens nothing.
-  /// @return false when it answered.
+  /// Checks the API key and sets the tenant. @return false if it sent an error.
   async_http::Task<bool> CheckKey();
-  /// Counts the request against its tenant's limit. @return false when it answered.
+  /// Counts the request against its tenant's quota. @return false if it sent an error.
   async_http::Task<bool> TakeQuota();
-  /// @return whether the key is still valid under the configuration in force now.
+  /// @return whether the API key is still valid in the current configuration.
   bool KeyStillHolds() const;
-  /// Refuses a keyed request: the configuration may be too old to say whether its key still holds.
+  /// Sends 503 to a request whose API key can't be verified without a valid configuration lease.
   async_http::Task<void> RefuseWithoutLease(absl::string_view reason);
-  /// Ends a request whose key lost its force while it waited.
+  /// Ends a request whose API key became invalid or unverifiable after admission.
   async_http::Task<void> RefuseKey();
-  /// Makes the ids that the client chose unique over all tenants.
+  /// Scopes the ids chosen by the client to its tenant.
   void ScopeIds();
-  /// Reserves the turn's tokens and fetches its history. @return false when it answered.
+  /// Reserves the turn's tokens and loads its history. @return false if it sent an error.
   async_http::Task<bool> AdmitTurn();
-  /// Asks the program's group, and the others where it goes on from another program's turn.
+  /// Reserves in the program's group. If the previous turn is unknown there, searches the other
+  /// groups for it.
   async_http::Task<turn_ledger::CallResult> Reserve(turn_ledger::ReserveTurn reserve,
                                                     absl::Time patience,
                                                     turn_ledger::Programs programs);
-  /// Answers itself where the ledger did not admit the turn. @return false when it answered.
+  /// Handles the ledger's verdict. @return false if it sent an error.
   async_http::Task<bool> TakeVerdict(const turn_ledger::CallResult& result, event_log::Line& line);
   engine_load EngineLoad() const;
-  /// @return when a new program that was refused may come back.
+  /// @return the Retry-After time of a refused new program.
   absl::Duration ProgramPause() const;
-  /// The program's own group doesn't know the turn that it goes on from: another's may.
+  /// Reserves with the history of a previous turn that another group has.
   async_http::Task<turn_ledger::CallResult> ReserveOnForeignTurn(turn_ledger::ReserveTurn reserve,
                                                                  absl::Time patience);
-  /// Puts the chain before the turn's own input. @return false when it answered.
+  /// Waits for the history and prepends it to the body. @return false if it sent an error.
   async_http::Task<bool> TakeHistory(history_fetch& fetch, turn_ledger::ReserveTurn reserve,
                                      absl::Time patience, event_log::Line& line);
-  /// From here on the request brings its turn's whole chain.
+  /// Prepends the history to the request body.
   void PutHistoryFirst(std::shared_ptr<const std::string> history);
-  /// The same with a chain that came with the ledger's verdict.
+  /// Caches a history that came with the leader's verdict and prepends it to the body.
   void TakeRelayedHistory(std::string history, event_log::Line& line);
   async_http::Task<void> TryRunners();
   std::optional<discovery::Runner> Choose();
   std::vector<Candidate> Candidates();
-  /// @return what it costs, in milliseconds, if a runner loses this request.
+  /// @return the cost, in milliseconds, of losing this request at a runner.
   double LossCost() const;
   AttemptPlan MakePlan(const discovery::Runner& runner);
   std::string RequestHead(const discovery::Runner& runner) const;
-  /// @return the rank that engines are told, 0 for the most urgent.
+  /// @return the priority rank sent to engines; 0 is the most urgent.
   int PriorityRank() const;
   async_http::Task<AttemptResult> RunOnce(const discovery::Runner& runner, stream_run& run);
   void NoteResult(const discovery::Runner& runner, const AttemptResult& result);
   void LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
                   const stream_run& run, absl::Time began);
-  /// Notes whether the runner lost the request.
+  /// Records in the runner's failure statistics whether it lost the request.
   void NoteOutcome(const discovery::Runner& runner, const AttemptResult& result);
-  /// The runner has read the prompt: it, and what it makes, are kept there for a while.
+  /// Records that the runner has cached the prompt.
   void NotePlacement();
   RequestSituation Situation() const;
   async_http::Task<void> PassOn(AttemptResult& result, stream_run& run);
   async_http::Task<void> FinishStream(stream_run& run);
   std::uint32_t RetentionMilliseconds() const;
-  /// @return what tells the ledger that the turn ended with so many tokens.
+  /// @return the ledger operation that settles the turn with `tokens` tokens.
   turn_ledger::SettleTurn Settlement(std::uint64_t tokens) const;
-  /// Commits a kept turn. @return false when it is not known to be committed.
+  /// Commits the turn to the ledger. @return false when the commit is not confirmed.
   async_http::Task<bool> CommitTurn();
   void SettleLater(std::uint64_t tokens);
   async_http::Task<void> AnswerOwn(unsigned status, absl::string_view reason,
@@ -105,10 +106,10 @@
   std::shared_ptr<const RouteTable> routes_;
   const Route* route_ = nullptr;
   const Service* service_ = nullptr;
-  const tenancy::tenant* tenant_ = nullptr;  // Of `routes_`; null without a key.
+  const tenancy::tenant* tenant_ = nullptr;  // Owned by `routes_`; null without an API key.
   ServiceName service_name_;
   RequestInfo info_;
-  // What the client named, made unique over all tenants.
+  // The client's ids, scoped to the tenant.
   turn_ledger::TurnId turn_;
   ProgramId program_;
   std::optional<RequestId> previous_turn_;
@@ -117,19 +118,19 @@
 
   bool reserved_ = false;
   bool settled_ = false;
-  GroupId group_;                                       // Of the ledger, that has the program.
-  std::shared_ptr<const std::string> history_;          // Of a kept turn's chain.
-  std::shared_ptr<const std::string> foreign_history_;  // The same, of another program's turn.
+  GroupId group_;                                       // Ledger group of the program.
+  std::shared_ptr<const std::string> history_;          // Chain of the previous turns.
+  std::shared_ptr<const std::string> foreign_history_;  // The same, of another program.
 
   std::set<std::string> tried_;
-  int sent_to_ = 0;  // Runners that the request was sent to.
+  int sent_to_ = 0;  // Attempts that sent the request, except to a wrong runner.
   bool may_have_run_ = false;
   Attempt* attempt_ = nullptr;
-  passed_events passed_;  // All that runs leave behind for the next one.
+  passed_events passed_;  // Over all attempts.
   std::string last_detail_;
   Choice last_choice_;
-  std::uint32_t last_runner_ = 0;  // Its short id.
-  std::string head_runner_;        // Whose answer's head the client gets; empty for an own answer.
+  std::uint32_t last_runner_ = 0;  // Short id.
+  std::string head_runner_;  // Runner whose response head the client got; empty for own responses.
 };
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/request_settlement.cc
+++ b/src/forwarding/request_settlement.cc
@@ -1,5 +1,5 @@
-// RequestRun's settlement: what a turn cost is told to the ledger, and a kept turn is committed
-// there.
+// Settlement part of RequestHandler: reports the tokens used by a turn to the ledger and commits
+// stored turns.
 #include <utility>
 
 #include "absl/strings/str_cat.h"
@@ -39,8 +39,8 @@
   settle.completed = std::move(completed);
   settled_ = true;
   absl::Time began = SteadyNow();
-  // A commit under way while the ledger changes hands is known a moment later; the answer is cut
-  // only once the request's own time is over.
+  // The response is aborted only after the request's deadline: a commit during a leader change of
+  // the ledger is confirmed a moment later.
   absl::Time end =
       std::max(deadline_ - state_->options.answer_margin, began + state_->options.commit_patience);
   auto result = co_await state_->ledger->Call(group_, settle, end);
--- a/src/forwarding/runner_choice.cc
+++ b/src/forwarding/runner_choice.cc
@@ -29,7 +29,7 @@
   return cost;
 }
 
-/// Worse classes are used only when better ones are empty.
+/// @return the candidate's tier; a higher one is used only when the lower ones are empty.
 int ClassOf(const Candidate& candidate) {
   return (candidate.leaving ? 2 : 0) + (candidate.avoided ? 1 : 0);
 }
--- a/src/forwarding/service_configuration.h
+++ b/src/forwarding/service_configuration.h
@@ -1,4 +1,4 @@
-// The operator's configuration in force: which requests go to which service, and within what.
+// The operator's configuration: routes, services, tenants and limits.
 #pragma once
 
 #include <cstdint>
@@ -12,23 +12,23 @@
 
 namespace martenyard::forwarding {
 
-/// A pool of runners that do the same work.
+/// Name of a pool of interchangeable runners.
 using ServiceName = TypedId<struct ServiceTag, std::string>;
 
-/// How often a request may run.
+/// Whether requests of a route may run more than once.
 enum class RouteKind {
   kIdempotent,     ///< May run more than once.
-  kNonIdempotent,  ///< Runs at most once a try.
-  kStream,         ///< Answered with events; may run again only where it can be resumed.
+  kNonIdempotent,  ///< Runs at most once per client attempt.
+  kStream,         ///< Responds with an event stream; repeatable if `resumable`.
 };
 
-/// One part of a split route.
+/// A service of a split route.
 struct WeightedService {
   ServiceName service;
   std::uint32_t weight = 0;
 };
 
-/// One route: which requests it takes and what holds for them.
+/// Matching rule and policy for a group of requests.
 struct Route {
   std::string name;
   std::string host;
@@ -37,35 +37,36 @@
   std::vector<WeightedService> services;  ///< Never empty.
   absl::Duration timeout = absl::Seconds(3);
   absl::Duration target_latency = absl::Milliseconds(200);
-  absl::Duration target_gap = absl::Milliseconds(300);  ///< Longest pause between two events.
-  int max_attempts = 1;                                 ///< Runners one try may be sent to.
-  int priority = 0;                                     ///< 0 is the most urgent.
+  absl::Duration target_gap =
+      absl::Milliseconds(300);  ///< Target for the maximum gap between two events.
+  int max_attempts = 1;         ///< Maximum number of runners tried per request.
+  int priority = 0;             ///< 0 is the most urgent.
   bool sticky = false;
   bool resumable = false;
   bool is_public = false;    ///< Needs no API key.
-  bool keeps_turns = false;  ///< Requests bring only new input; the rest comes from the ledger.
+  bool keeps_turns = false;  ///< Turns are stored; requests carry only new input.
   absl::Duration turn_retention = absl::Seconds(60);
 
-  /// True when a second run does no harm.
+  /// @return whether running a request twice is safe.
   bool Repeatable() const {
     return kind == RouteKind::kIdempotent || (kind == RouteKind::kStream && resumable);
   }
 };
 
-/// What a service's model engines are like.
+/// Properties of the model engines of a service.
 struct EngineTraits {
   std::uint32_t slots = 1;
-  std::uint64_t cache_tokens = 0;      ///< Tokens of prompt and output kept in memory.
-  std::uint32_t tokens_per_event = 1;  ///< Tokens that one streamed event stands for.
+  std::uint64_t cache_tokens = 0;      ///< Capacity of the prompt and output cache.
+  std::uint32_t tokens_per_event = 1;  ///< Output tokens per streamed event.
 };
 
 struct Service {
   ServiceName name;
-  std::uint32_t max_connections = 100;  ///< At one runner, from all callers together.
+  std::uint32_t max_connections = 100;  ///< Per runner, from all clients together.
   std::optional<EngineTraits> engine;   ///< Absent for plain services.
 };
 
-/// What a client may send, and how long it may take.
+/// Size and time limits for client requests.
 struct ClientLimits {
   std::uint32_t header_bytes = 16384;
   std::uint64_t body_bytes = std::uint64_t{4} << 20;
@@ -73,13 +74,13 @@
   absl::Duration idle_timeout = absl::Seconds(15);
 };
 
-/// One version of the whole configuration.
+/// One version of the configuration.
 struct ServiceConfiguration {
   std::uint64_t version = 0;
   std::vector<Route> routes;
   std::vector<Service> services;
   ClientLimits limits;
-  tenancy::tenant_table tenants;  ///< Empty: requests need no API key.
+  tenancy::tenant_table tenants;  ///< If empty, requests need no API key.
 
   const Service* FindService(const ServiceName& name) const {
     for (const Service& service : services) {
--- a/src/forwarding/streams/event_cutter.cc
+++ b/src/forwarding/streams/event_cutter.cc
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// @param[in,out] from  where to search; moved to where a later search must begin
+/// @param[in,out] from  start of the search; set to the start of the next one if there is no blank line
 /// @return the position after the first blank line, or npos
 std::size_t end_of_event(absl::string_view text, std::size_t& from)
 {
@@ -39,7 +39,7 @@
     return absl::string_view::npos;
 }
 
-/// @return a field's value without the one blank that may follow its colon
+/// @return the field value without the optional space after the colon
 absl::string_view value_of(absl::string_view rest)
 {
     absl::ConsumePrefix(&rest, " ");
--- a/src/forwarding/streams/event_cutter.h
+++ b/src/forwarding/streams/event_cutter.h
@@ -1,4 +1,4 @@
-// Cuts the body of a server-sent event stream into whole events.
+// Incremental parser of server-sent event streams.
 #pragma once
 
 #include <optional>
@@ -10,36 +10,36 @@
 namespace martenyard::forwarding
 {
 
-/// @brief one whole event, up to and with the blank line that ends it
+/// @brief a complete event, including the blank line that ends it
 struct stream_event
 {
     /// the event's bytes, unchanged
     std::string m_text;
     std::optional<std::string> m_id;
-    /// several data lines are joined by line feeds; absent for comments and other events without data
+    /// data lines joined by line feeds; absent for comments and events without data
     std::optional<std::string> m_data;
 };
 
-/// @brief cuts one run's bytes; a run is one back end's work on a request
+/// @brief parses the response body of one attempt
 class event_cutter
 {
   public:
-    /// @brief takes bytes as they come, cut anywhere
-    /// @return the events that are whole now
+    /// @brief appends a piece of the stream of any length
+    /// @return the events completed by it
     std::vector<stream_event> feed(absl::string_view bytes);
 
-    /// @return the bytes of an event that has no end yet
+    /// @return the bytes of the incomplete last event
     const std::string& unfinished() const
     {
         return m_unfinished;
     }
 
-    /// @return what the unfinished bytes say, as if a blank line followed
+    /// @return the incomplete last event, parsed as if a blank line followed
     stream_event unfinished_event() const;
 
   private:
     std::string m_unfinished;
-    /// bytes of `m_unfinished` that are known to hold no event's end
+    /// number of bytes of `m_unfinished` already searched for the end of an event
     std::size_t m_scanned = 0;
 };
 
--- a/src/forwarding/streams/id_steps.h
+++ b/src/forwarding/streams/id_steps.h
@@ -1,4 +1,4 @@
-// By how much the ids of a service's events rise, learned from its whole streams.
+// Learns the constant difference (stride) between consecutive event ids of each service.
 #pragma once
 
 #include <cstdint>
@@ -10,20 +10,20 @@
 namespace martenyard::forwarding
 {
 
-/// @brief remembers the step of each service's event ids
+/// @brief the stride of each service's event ids, learned from its complete streams
 ///
-/// With it, a run that a client itself resumed is told from one that leaves an event out: until the first
-/// event is passed on, the stream alone does not say where the next one belongs.
+/// When a client resumes a stream, the stride is needed to detect a missing event before the first event is
+/// delivered.
 class id_steps
 {
   public:
-    /// Services remembered at once. Configurations name a few; when more come, all is learned anew.
+    /// maximum number of services; all entries are cleared when it is exceeded
     static constexpr std::size_t most_services = 256;
 
-    /// @param[in] step  by how much ids rose throughout one stream; 0: it was not always the same
+    /// @param[in] stride  the id stride of a complete stream; 0 if it was not constant
     void note(const ServiceName& service, std::uint64_t step);
 
-    /// @return the step that all streams of the service had; 0 when they differed or none is known
+    /// @return the stride shared by all streams of the service; 0 if they differ or none is known
     std::uint64_t step_of(const ServiceName& service) const;
 
   private:
--- a/src/forwarding/streams/passed_events.cc
+++ b/src/forwarding/streams/passed_events.cc
@@ -42,7 +42,7 @@
     }
     if (!names_place(event))
     {
-        // Nothing says where it belongs. The client named its own place; there the runner's word is all.
+        // Without an id its position can't be checked; accept it only if nothing was delivered yet.
         return m_count == 0;
     }
     std::optional<std::uint64_t> last = number_of(m_last_id);
@@ -61,7 +61,7 @@
     {
         return m_step;
     }
-    // One event says nothing of the step: most services count by one.
+    // A single event gives no stride; most services count by one.
     bool assumes_one = m_count > 0 && m_known_step == 0;
     return assumes_one ? 1 : m_known_step;
 }
--- a/src/forwarding/streams/passed_events.h
+++ b/src/forwarding/streams/passed_events.h
@@ -1,4 +1,4 @@
-// What a client has been given of a streamed answer, over all runs that had a part in it.
+// The events of a streamed response that were delivered to the client, over all attempts.
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,24 @@
 namespace martenyard::forwarding
 {
 
-/// @brief the events passed on so far; a run's unfinished bytes and its head are not among them
+/// @brief the complete events delivered so far
 class passed_events
 {
   public:
-    /// @param[in] after  the id of the event after which the client asked to go on; empty: from the start
-    /// @param[in] step   by how much the service's ids are known to rise; 0: not known
+    /// @param[in] after   id of the event after which the client resumes; empty: from the start
+    /// @param[in] stride  known id stride of the service; 0 if unknown
     explicit passed_events(std::string after = {}, std::uint64_t step = 0);
 
-    /// @brief tells whether a run that was asked to go on after `last_id` begins at the right place
+    /// @brief checks whether `event` directly follows `last_id`, so that no event is missing or repeated
     ///
-    /// Ids rise. By how much is known from the service's other streams or from the events passed on; after a
-    /// single event of a service that nothing is known of, they are taken to count by one. A run that leaves
-    /// an event out is so told from one that does not.
-    /// @param[in] event  the run's first event with an id or data
+    /// The expected id stride comes from the delivered events or from other streams of the service. If
+    /// neither is known after one event, it is assumed to be one.
+    /// @param[in] event  the first event with an id or data of a resumed stream
     bool may_follow(const stream_event& event) const;
 
     void take(const stream_event& event);
 
-    /// @return events with data
+    /// @return number of events with data
     std::uint64_t count() const
     {
         return m_count;
@@ -40,26 +39,24 @@
         return m_data;
     }
 
-    /// @return the id of the last event that had one, else of the one that the client named
+    /// @return the id of the last event with an id, or the id that the client resumes after
     const std::string& last_id() const
     {
         return m_last_id;
     }
 
-    /// @return whether `last_id` names the last event with data, so that another run can go on after it;
-    /// an empty id names none
+    /// @return whether another runner can continue the stream: the last event with data had a non-empty id
     bool can_be_resumed() const
     {
         return m_count > 0 && m_last_has_id;
     }
 
-    /// @return by how much ids rose from one event to the next; 0 when it was not always the same; nothing
-    /// before two events
+    /// @return the id stride; 0 if it was not constant; nothing before two events
     std::optional<std::uint64_t> step() const;
 
   private:
     void note_step(const std::string& id);
-    /// @return what the next id is expected to add to the last; 0: it need only rise
+    /// @return the expected stride of the next id; 0 if any greater id is accepted
     std::uint64_t expected_step() const;
 
     std::uint64_t m_count = 0;
@@ -67,9 +64,9 @@
     std::string m_last_id;
     bool m_last_has_id = false;
     std::uint64_t m_known_step;
-    /// by how much ids rose; 0 when it was not always the same
+    /// stride of the delivered ids; 0 if it was not constant
     std::uint64_t m_step = 0;
-    /// pairs of events whose ids were compared
+    /// number of consecutive id pairs compared
     std::uint64_t m_steps_seen = 0;
 };
 
--- a/src/forwarding/streams/stream_run.cc
+++ b/src/forwarding/streams/stream_run.cc
@@ -91,7 +91,7 @@
     {
         return m_resumes ? "the run that was to go on is no event stream" : nullptr;
     }
-    // The end of the connection alone does not say that the runner was done.
+    // The end of the connection alone doesn't prove that the stream is complete.
     if (ended_by_close && (!only_blank || !m_place_checked))
     {
         return "the stream ended with its connection, and not after a whole event";
@@ -106,7 +106,7 @@
 {
     if (m_exchange.stream_started())
     {
-        co_return true;  // A resumed stream keeps its first run's head.
+        co_return true;  // A resumed stream keeps the head of the first attempt.
     }
     m_gave_head = true;
     co_return co_await m_exchange.StartStream(*m_head);
@@ -117,7 +117,7 @@
     bool passed = co_await start_stream();
     if (passed && !m_cutter.unfinished().empty())
     {
-        // The client has these bytes as the body's last event: they count as one.
+        // The client parses these bytes as the last event, so they count as delivered.
         m_passed.take(m_cutter.unfinished_event());
         passed = co_await m_exchange.Write(m_cutter.unfinished());
     }
--- a/src/forwarding/streams/stream_run.h
+++ b/src/forwarding/streams/stream_run.h
@@ -1,4 +1,4 @@
-// One run's part of a streamed answer, on its way from a runner to the client.
+// Forwards the streamed response of one attempt to the client.
 #pragma once
 
 #include <functional>
@@ -13,34 +13,33 @@
 namespace martenyard::forwarding
 {
 
-/// @brief passes one run's whole events on to the client
+/// @brief forwards the complete events of one attempt to the client
 ///
-/// The run's head and the bytes of its unfinished event live and end with this object, and there is one for
-/// each attempt: kept any longer, they are joined to the next run's answer.
+/// Each attempt needs its own object, so that the head and the incomplete event of a failed attempt are not
+/// joined to the response of the next one.
 class stream_run : public StreamSink
 {
   public:
-    /// @param[in] exchange  the client's request
-    /// @param[in] passed    what the client has been given by earlier runs; this run's events are added
-    /// @param[in] on_head   called when the runner has begun its answer
+    /// @param[in] exchange   the client's request
+    /// @param[in] delivered  events delivered by earlier attempts; those of this attempt are added
+    /// @param[in] on_head    called when the runner has started its response
     stream_run(async_http::Exchange& exchange, passed_events& passed, std::function<void()> on_head);
 
     void OnHead(const async_http::HttpHead& head) override;
     async_http::Task<StreamStep> OnBytes(std::string bytes) override;
     const char* WhyIncomplete(bool ended_by_close) const override;
 
-    /// @brief passes on what stands behind the last blank line of a body that is whole; the end mark of the
-    /// client's answer is the caller's
-    /// @return false when the client can't be reached
+    /// @brief sends the bytes after the last blank line of a complete body; the caller ends the response
+    /// @return false when the client has disconnected
     async_http::Task<bool> pass_unfinished();
 
-    /// @return whether the client got this run's head
+    /// @return whether the response head of this attempt was sent to the client
     bool gave_head() const
     {
         return m_gave_head;
     }
 
-    /// @return the id of this run's first event that had one
+    /// @return the id of this attempt's first event with an id
     const std::string& first_id() const
     {
         return m_first_id;
@@ -52,13 +51,13 @@
     }
 
   private:
-    /// @return whether an event may stand where the client's stream is
+    /// @return whether `event` may follow the delivered events
     bool is_in_place(const stream_event& event) const;
-    /// @return false when it may not; then nothing is noted of it
+    /// @return false if `event` is out of order; it is not recorded then
     bool take(const stream_event& event);
-    /// @return whether the body is an event stream by its head; one that does not say counts as such
+    /// @return whether the content type is an event stream; a missing one counts as such
     bool is_event_stream() const;
-    /// @return false when the client can't be reached
+    /// @return false when the client has disconnected
     async_http::Task<bool> start_stream();
 
     async_http::Exchange& m_exchange;
@@ -68,9 +67,9 @@
     event_cutter m_cutter;
     std::string m_first_id;
     bool m_gave_head = false;
-    /// the client had events of an earlier run when this one began
+    /// the client had received a response head of an earlier attempt
     const bool m_resumes;
-    /// an event with data was compared with what the client has: from there on the runner's order counts
+    /// the position of an event with data was checked; later events are not checked
     bool m_place_checked = false;
 };
 
--- a/src/forwarding/turn_cache.h
+++ b/src/forwarding/turn_cache.h
@@ -1,4 +1,4 @@
-// Chains of kept turns that this gateway has seen, so that the ledger needn't send them again.
+// Cache of turn chains, which saves reading them from the ledger again.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,16 @@
 
 namespace martenyard::forwarding {
 
-/// Least recently used out first, by bytes.
+/// LRU cache, bounded by its total size in bytes.
 class TurnCache {
  public:
   explicit TurnCache(std::uint64_t capacity_bytes) : capacity_bytes_(capacity_bytes) {}
 
-  /// @return the whole chain up to and with `turn`, or null.
+  /// @return the chain up to and including `turn`, or null.
   std::shared_ptr<const std::string> Find(const RequestId& turn);
   void Put(const ProgramId& program, const RequestId& turn,
            std::shared_ptr<const std::string> chain);
-  /// @return the program's turn put last, if its chain is still here.
+  /// @return the last inserted turn of the program if its chain is still cached.
   std::optional<RequestId> LatestOf(const ProgramId& program) const;
   std::uint64_t bytes() const { return bytes_; }
 
@@ -36,7 +36,7 @@
 
   std::uint64_t capacity_bytes_;
   std::uint64_t bytes_ = 0;
-  std::list<Entry> recent_;  // The most recently used first.
+  std::list<Entry> recent_;  // Most recently used first.
   absl::flat_hash_map<RequestId, std::list<Entry>::iterator> by_turn_;
   absl::flat_hash_map<ProgramId, RequestId> latest_;
 };
--- a/tests/forwarding/forwarding_units_test.cc
+++ b/tests/forwarding/forwarding_units_test.cc
@@ -1,4 +1,4 @@
-// The pure parts of forwarding: routes, request headers, event streams, choices and outcomes.
+// Routes, request headers, prefix index, runner choice, attempt outcomes and turn cache.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
--- a/tests/forwarding/streams/passed_events_test.cc
+++ b/tests/forwarding/streams/passed_events_test.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// @param[in] id  empty: without one
+/// @param[in] id  event id; empty for an event without an id
 stream_event event_with(const std::string& id)
 {
     stream_event event;
@@ -23,17 +23,17 @@
     return event;
 }
 
-/// Whether a run that was asked to go on may begin with an event.
+/// Whether a resumed stream may start with an event.
 struct follow_case
 {
     const char* m_name;
-    /// that the client named itself
+    /// the client's Last-Event-Id
     std::string m_after;
     std::vector<std::string> m_passed;
     std::string m_next;
     bool m_may_follow;
     bool m_can_be_resumed;
-    /// known of the service's other streams
+    /// learned from other streams of the service
     std::uint64_t m_known_step = 0;
 };
 
