--- a/src/forwarding/attempt.cc
+++ b/src/forwarding/attempt.cc
@@ -123,7 +123,7 @@
   });
   bool connected = co_await connection_->Connect();
   if (!connected || aborted_) {
-    result.detail = "no connection";
+    result.detail = "connection failed";
     connection_->Close();
     state_.pool.NoteClosed(plan_.runner.id);
     co_return false;
@@ -164,7 +164,8 @@
       step = co_await connection_->ReadHead();
     }
     if (step == ReadStep::kClosed || step == ReadStep::kMalformed) {
-      result.detail = step == ReadStep::kClosed ? "closed without an answer" : "no HTTP answer";
+      result.detail = step == ReadStep::kClosed ? "connection closed without a response"
+                                                : "malformed HTTP response";
       co_return HeadEnd::kFailed;
     }
     const async_http::HttpHead& head = connection_->parser().get().base();
@@ -175,16 +176,16 @@
       co_return HeadEnd::kOurs;
     }
     if (id.empty()) {
-      result.detail = "an answer without an id";
+      result.detail = "response without a request id";
       co_return HeadEnd::kFailed;
     }
     // A late response to an earlier request; the expected one may follow.
     if (!co_await SkipForeignAnswer()) {
-      result.detail = "a foreign answer";
+      result.detail = "response to another request";
       co_return HeadEnd::kFailed;
     }
   }
-  result.detail = "foreign answers";
+  result.detail = "too many responses to other requests";
   co_return HeadEnd::kFailed;
 }
 
@@ -209,7 +210,7 @@
     step = co_await connection_->ReadBody();
   }
   if (step != ReadStep::kWhole) {
-    result.detail = "the answer broke off";
+    result.detail = "response truncated";
     result.end = FailureEnd(AttemptEnd::kNoAnswer);
     co_return;
   }
@@ -235,7 +236,7 @@
       co_return;
     }
     if (passed == StreamStep::kOutOfPlace) {
-      result.detail = "the run does not go on where the stream stood";
+      result.detail = "the stream does not continue after the last delivered event";
       Abort(AttemptEnd::kBrokeOff);
       result.end = abort_end_;
       co_return;
@@ -255,7 +256,7 @@
 
 const char* Attempt::WhyIncomplete(ReadStep last, const StreamSink& sink) const {
   if (last != ReadStep::kWhole) {
-    return "the stream broke off";
+    return "stream truncated";
   }
   return sink.WhyIncomplete(connection_->ended_by_close());
 }
--- a/src/forwarding/streams/stream_run.cc
+++ b/src/forwarding/streams/stream_run.cc
@@ -89,17 +89,17 @@
     bool only_blank = rest.find_first_not_of("\r\n") == std::string::npos;
     if (!is_event_stream())
     {
-        return m_resumes ? "the run that was to go on is no event stream" : nullptr;
+        return m_resumes ? "the resumed response is not an event stream" : nullptr;
     }
     // The end of the connection alone doesn't prove that the stream is complete.
     if (ended_by_close && (!only_blank || !m_place_checked))
     {
-        return "the stream ended with its connection, and not after a whole event";
+        return "the connection was closed and the stream did not end with a complete event";
     }
     stream_event last = m_cutter.unfinished_event();
     bool says_where = last.m_id || last.m_data;
     bool fits = only_blank || m_place_checked || (says_where ? m_passed.may_follow(last) : !m_resumes);
-    return fits ? nullptr : "the run does not go on where the stream stood";
+    return fits ? nullptr : "the stream does not continue after the last delivered event";
 }
 
 Task<bool> stream_run::start_stream()
--- a/tests/platform/explain_test.cc
+++ b/tests/platform/explain_test.cc
@@ -131,7 +131,8 @@
   ASSERT_EQ(world.Ask({}).status, 502U);
   Account account = ExplainIn(world, "attempt-1");
   EXPECT_TRUE(absl::StrContains(account.cause, "i-far")) << account.cause;
-  EXPECT_TRUE(absl::StrContains(account.cause, "closed without an answer")) << account.cause;
+  EXPECT_TRUE(absl::StrContains(account.cause, "connection closed without a response"))
+      << account.cause;
   int attempts = 0;
   for (const std::string& step : account.steps) {
     attempts += absl::StrContains(step, "attempt_ended") ? 1 : 0;
@@ -147,9 +148,9 @@
   };
   const Case cases[] = {
       {RunnerBehavior::kBreakMidEvent, "under the head of runner i-near",
-       "runner i-near ended with broke_off (the stream broke off) after 2 events, and 8 bytes"},
+       "runner i-near ended with broke_off (stream truncated) after 2 events, and 8 bytes"},
       {RunnerBehavior::kBreakInFirst, "under the head of runner i-far",
-       "runner i-near ended with broke_off (the stream broke off) after 0 events, and 8 bytes"},
+       "runner i-near ended with broke_off (stream truncated) after 0 events, and 8 bytes"},
   };
   for (const Case& test : cases) {
     PlatformWorld world;
@@ -176,7 +177,7 @@
   ASSERT_FALSE(world.Ask(request).whole);
   Account account = ExplainIn(world, "attempt-1");
   EXPECT_EQ(account.outcome, "broken");
-  EXPECT_TRUE(absl::StrContains(account.cause, "does not go on where the stream stood"))
+  EXPECT_TRUE(absl::StrContains(account.cause, "does not continue after the last delivered event"))
       << account.cause;
 }
 
--- a/tests/platform/stream_corners_test.cc
+++ b/tests/platform/stream_corners_test.cc
@@ -209,10 +209,11 @@
 TEST(StreamCornersTest, RefusedRunsFirstEventIsLogged) {
   PlatformWorld world;
   AskRaw(world, Broken(Events(1, 2)), WithLength(Events(1, 4)));
-  EXPECT_TRUE(absl::StrContains(world.Log(),
-                                "\"first_event\":\"1\",\"unfinished_bytes\":0,"
-                                "\"framing\":\"length\",\"reused\":false,"
-                                "\"detail\":\"the run does not go on"))
+  EXPECT_TRUE(
+      absl::StrContains(world.Log(),
+                        "\"first_event\":\"1\",\"unfinished_bytes\":0,"
+                        "\"framing\":\"length\",\"reused\":false,"
+                        "\"detail\":\"the stream does not continue after the last delivered event"))
       << world.Log().substr(world.Log().size() > 3000 ? world.Log().size() - 3000 : 0);
 }
 
