--- a/src/forwarding/gateway_state.h
+++ b/src/forwarding/gateway_state.h
@@ -17,7 +17,7 @@
 #include "forwarding/quota/quota_client.h"
 #include "forwarding/route_table.h"
 #include "forwarding/runner_choice.h"
-#include "forwarding/streams/id_steps.h"
+#include "forwarding/streams/id_strides.h"
 #include "forwarding/turn_cache.h"
 #include "tenancy/configuration_lease.h"
 #include "tenancy/key_hasher.h"
@@ -79,7 +79,7 @@
   tenancy::configuration_lease lease;        ///< API keys are accepted while it is held.
   bool store_reachable = false;              ///< The configuration is known to be current.
   discovery::RunnerTable runners;
-  id_steps id_steps_of_services;  ///< Event id strides by service.
+  id_strides service_id_strides;  ///< Event id strides by service.
   PrefixIndex prefixes{absl::Seconds(30), 40000};
   ConnectionPool pool;
   TurnCache turns{std::uint64_t{2} << 20};
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -76,8 +76,8 @@
   service_name_ = ChooseService(*route_, SplitPoint(info_, state_->random));
   service_ = routes_->configuration().FindService(service_name_);
   if (route_->kind == RouteKind::kStream && route_->resumable) {
-    passed_ =
-        passed_events(info_.last_event_id, state_->id_steps_of_services.step_of(service_name_));
+    delivered_ =
+        delivered_events(info_.last_event_id, state_->service_id_strides.stride_of(service_name_));
   }
   co_return true;
 }
--- a/src/forwarding/request_run.cc
+++ b/src/forwarding/request_run.cc
@@ -81,8 +81,8 @@
   absl::Duration left = std::max(TimeLeft(), absl::Milliseconds(1));
   fields.set(names.deadline_ms, absl::StrCat(absl::ToInt64Milliseconds(left)));
   fields.set(names.expected_runner, runner.id.value);
-  if (passed_.can_be_resumed()) {
-    fields.set(names.last_event_id, passed_.last_id());
+  if (delivered_.can_be_resumed()) {
+    fields.set(names.last_event_id, delivered_.last_id());
   }
   if (route_->kind == RouteKind::kStream) {
     fields.set(names.priority, absl::StrCat(PriorityRank()));
@@ -124,7 +124,7 @@
   RequestSituation situation;
   situation.repeatable = route_->Repeatable();
   situation.can_resume =
-      route_->kind == RouteKind::kStream && route_->resumable && passed_.can_be_resumed();
+      route_->kind == RouteKind::kStream && route_->resumable && delivered_.can_be_resumed();
   situation.answer_started = exchange_->stream_started();
   situation.may_have_run = may_have_run_;
   situation.attempts_left = route_->max_attempts - sent_to_;
@@ -132,7 +132,7 @@
   return situation;
 }
 
-Task<AttemptResult> RequestRun::RunOnce(const discovery::Runner& runner, stream_run& run) {
+Task<AttemptResult> RequestRun::RunOnce(const discovery::Runner& runner, stream_forwarder& run) {
   discovery::RunnerState* entry = state_->runners.Find(runner.id);
   ++entry->own_active;
   last_runner_ = entry->short_id;
@@ -147,7 +147,7 @@
   if (discovery::RunnerState* after = state_->runners.Find(runner.id)) {
     --after->own_active;
   }
-  if (run.gave_head()) {
+  if (run.sent_head()) {
     head_runner_ = runner.id.value;
   }
   NoteResult(runner, result);
@@ -187,7 +187,7 @@
 }
 
 void RequestRun::LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
-                            const stream_run& run, absl::Time began) {
+                            const stream_forwarder& run, absl::Time began) {
   state_->metrics.CountAttempt(NameOf(result.end));
   state_->log.Write(
       Line("attempt_ended")
@@ -195,8 +195,8 @@
           .Text("runner", runner.id.value)
           .Text("end", NameOf(result.end))
           .Number("status", result.answer.head.result_int())
-          .Number("events", static_cast<std::int64_t>(passed_.count()))
-          .Text("first_event", run.first_id())
+          .Number("events", static_cast<std::int64_t>(delivered_.count()))
+          .Text("first_event", run.first_event_id())
           .Number("unfinished_bytes", static_cast<std::int64_t>(run.unfinished_bytes()))
           .Text("framing", result.framing)
           .Flag("reused", result.reused)
@@ -241,7 +241,7 @@
     AttemptEnd end = AttemptEnd::kNotSent;
     AttemptResult result;
     // One forwarder per attempt: the head and partial event of a failed attempt are discarded.
-    stream_run run(*exchange_, passed_, [this] { NotePlacement(); });
+    stream_forwarder run(*exchange_, delivered_, [this] { NotePlacement(); });
     RequestSituation situation = Situation();
     if (runner) {
       result = co_await RunOnce(*runner, run);
@@ -266,7 +266,7 @@
       case NextStep::kResume:
         state_->log.Write(Line("stream_resumed")
                               .Text("request", info_.id.value)
-                              .Text("after", passed_.last_id()));
+                              .Text("after", delivered_.last_id()));
         continue;
       case NextStep::kRefuse:
         co_await Refuse(runner ? "no runner took it" : "no runner to send it to");
@@ -296,7 +296,7 @@
   }
 }
 
-Task<void> RequestRun::PassOn(AttemptResult& result, stream_run& run) {
+Task<void> RequestRun::PassOn(AttemptResult& result, stream_forwarder& run) {
   if (result.streamed) {
     co_await FinishStream(run);
     co_return;
@@ -310,13 +310,13 @@
   Close(sent ? "answered" : "client_gone");
 }
 
-Task<void> RequestRun::FinishStream(stream_run& run) {
-  if (!co_await run.pass_unfinished()) {
+Task<void> RequestRun::FinishStream(stream_forwarder& run) {
+  if (!co_await run.forward_unfinished()) {
     Close("client_gone");
     co_return;
   }
-  if (auto step = passed_.step()) {
-    state_->id_steps_of_services.note(service_name_, *step);
+  if (auto stride = delivered_.stride()) {
+    state_->service_id_strides.record(service_name_, *stride);
   }
   if (route_->keeps_turns && !co_await CommitTurn()) {
     exchange_->Break();
@@ -361,7 +361,7 @@
                         .Text("detail", last_detail_)
                         .Text("head_of", head_runner_)
                         .Number("sent_to", sent_to_)
-                        .Number("events", static_cast<std::int64_t>(passed_.count()))
+                        .Number("events", static_cast<std::int64_t>(delivered_.count()))
                         .Real("ms", absl::ToDoubleMilliseconds(took)));
 }
 
--- a/src/forwarding/request_run.h
+++ b/src/forwarding/request_run.h
@@ -12,8 +12,8 @@
 #include "forwarding/attempt.h"
 #include "forwarding/gateway_state.h"
 #include "forwarding/history/history_fetch.h"
-#include "forwarding/streams/passed_events.h"
-#include "forwarding/streams/stream_run.h"
+#include "forwarding/streams/delivered_events.h"
+#include "forwarding/streams/stream_forwarder.h"
 
 namespace martenyard::forwarding {
 
@@ -76,17 +76,17 @@
   std::string RequestHead(const discovery::Runner& runner) const;
   /// @return the priority rank sent to engines; 0 is the most urgent.
   int PriorityRank() const;
-  async_http::Task<AttemptResult> RunOnce(const discovery::Runner& runner, stream_run& run);
+  async_http::Task<AttemptResult> RunOnce(const discovery::Runner& runner, stream_forwarder& run);
   void NoteResult(const discovery::Runner& runner, const AttemptResult& result);
   void LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
-                  const stream_run& run, absl::Time began);
+                  const stream_forwarder& run, absl::Time began);
   /// Records in the runner's failure statistics whether it lost the request.
   void NoteOutcome(const discovery::Runner& runner, const AttemptResult& result);
   /// Records that the runner has cached the prompt.
   void NotePlacement();
   RequestSituation Situation() const;
-  async_http::Task<void> PassOn(AttemptResult& result, stream_run& run);
-  async_http::Task<void> FinishStream(stream_run& run);
+  async_http::Task<void> PassOn(AttemptResult& result, stream_forwarder& run);
+  async_http::Task<void> FinishStream(stream_forwarder& run);
   std::uint32_t RetentionMilliseconds() const;
   /// @return the ledger operation that settles the turn with `tokens` tokens.
   turn_ledger::SettleTurn Settlement(std::uint64_t tokens) const;
@@ -126,7 +126,7 @@
   int sent_to_ = 0;  // Attempts that sent the request, except to a wrong runner.
   bool may_have_run_ = false;
   Attempt* attempt_ = nullptr;
-  passed_events passed_;  // Over all attempts.
+  delivered_events delivered_;  // Over all attempts.
   std::string last_detail_;
   Choice last_choice_;
   std::uint32_t last_runner_ = 0;  // Short id.
--- a/src/forwarding/request_settlement.cc
+++ b/src/forwarding/request_settlement.cc
@@ -33,7 +33,7 @@
     completed.previous = turn_ledger::TurnId(previous_turn_->value);
   }
   completed.input = body_->substr(known);
-  completed.output = passed_.data();
+  completed.output = delivered_.data();
   auto made = static_cast<std::uint32_t>(TokensDelivered());
   completed.place = {last_runner_, info_.prompt_tokens + made};
   settle.completed = std::move(completed);
@@ -46,20 +46,20 @@
   auto result = co_await state_->ledger->Call(group_, settle, end);
   state_->log.Write(Line("turn_committed")
                         .Text("request", info_.id.value)
-                        .Number("events", static_cast<std::int64_t>(passed_.count()))
+                        .Number("events", static_cast<std::int64_t>(delivered_.count()))
                         .Flag("known", static_cast<bool>(result))
                         .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - began)));
   if (!result) {
     co_return false;
   }
   state_->turns.Put(program_, RequestId(turn_.value),
-                    std::make_shared<std::string>(absl::StrCat(*body_, passed_.data())));
+                    std::make_shared<std::string>(absl::StrCat(*body_, delivered_.data())));
   co_return true;
 }
 
 std::uint64_t RequestRun::TokensDelivered() const {
   bool engine = service_ != nullptr && service_->engine;
-  return passed_.count() * (engine ? service_->engine->tokens_per_event : 1);
+  return delivered_.count() * (engine ? service_->engine->tokens_per_event : 1);
 }
 
 void RequestRun::SettleLater(std::uint64_t tokens) {
--- a/src/forwarding/streams/passed_events.cc
+++ b/src/forwarding/streams/delivered_events.cc
@@ -1,4 +1,4 @@
-#include "forwarding/streams/passed_events.h"
+#include "forwarding/streams/delivered_events.h"
 
 #include <optional>
 #include <utility>
@@ -22,25 +22,25 @@
     return number;
 }
 
-bool names_place(const stream_event& event)
+bool has_id(const sse_event& event)
 {
     return event.m_id && !event.m_id->empty();
 }
 
 }  // namespace
 
-passed_events::passed_events(std::string after, std::uint64_t step)
-    : m_last_id(std::move(after)), m_known_step(step)
+delivered_events::delivered_events(std::string after, std::uint64_t stride)
+    : m_last_id(std::move(after)), m_known_stride(stride)
 {
 }
 
-bool passed_events::may_follow(const stream_event& event) const
+bool delivered_events::may_follow(const sse_event& event) const
 {
     if (m_last_id.empty())
     {
         return true;
     }
-    if (!names_place(event))
+    if (!has_id(event))
     {
         // Without an id its position can't be checked; accept it only if nothing was delivered yet.
         return m_count == 0;
@@ -51,46 +51,46 @@
     {
         return *event.m_id != m_last_id;
     }
-    std::uint64_t step = expected_step();
-    return step == 0 ? *next > *last : *next == *last + step;
+    std::uint64_t stride = expected_stride();
+    return stride == 0 ? *next > *last : *next == *last + stride;
 }
 
-std::uint64_t passed_events::expected_step() const
+std::uint64_t delivered_events::expected_stride() const
 {
-    if (m_steps_seen > 0)
+    if (m_strides_seen > 0)
     {
-        return m_step;
+        return m_stride;
     }
     // A single event gives no stride; most services count by one.
-    bool assumes_one = m_count > 0 && m_known_step == 0;
-    return assumes_one ? 1 : m_known_step;
+    bool assumes_unit_stride = m_count > 0 && m_known_stride == 0;
+    return assumes_unit_stride ? 1 : m_known_stride;
 }
 
-std::optional<std::uint64_t> passed_events::step() const
+std::optional<std::uint64_t> delivered_events::stride() const
 {
-    if (m_steps_seen == 0)
+    if (m_strides_seen == 0)
     {
         return std::nullopt;
     }
-    return m_step;
+    return m_stride;
 }
 
-void passed_events::take(const stream_event& event)
+void delivered_events::add(const sse_event& event)
 {
-    if (names_place(event))
+    if (has_id(event))
     {
-        note_step(*event.m_id);
+        record_stride(*event.m_id);
         m_last_id = *event.m_id;
     }
     if (event.m_data)
     {
         absl::StrAppend(&m_data, *event.m_data, "\n");
         ++m_count;
-        m_last_has_id = names_place(event);
+        m_last_has_id = has_id(event);
     }
 }
 
-void passed_events::note_step(const std::string& id)
+void delivered_events::record_stride(const std::string& id)
 {
     std::optional<std::uint64_t> last = number_of(m_last_id);
     std::optional<std::uint64_t> next = number_of(id);
@@ -98,10 +98,10 @@
     {
         return;
     }
-    std::uint64_t step = *next - *last;
-    bool first = m_steps_seen == 0;
-    ++m_steps_seen;
-    m_step = first || step == m_step ? step : 0;
+    std::uint64_t stride = *next - *last;
+    bool first = m_strides_seen == 0;
+    ++m_strides_seen;
+    m_stride = first || stride == m_stride ? stride : 0;
 }
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/streams/passed_events.h
+++ b/src/forwarding/streams/delivered_events.h
@@ -5,27 +5,27 @@
 #include <optional>
 #include <string>
 
-#include "forwarding/streams/event_cutter.h"
+#include "forwarding/streams/sse_parser.h"
 
 namespace martenyard::forwarding
 {
 
 /// @brief the complete events delivered so far
-class passed_events
+class delivered_events
 {
   public:
     /// @param[in] after   id of the event after which the client resumes; empty: from the start
     /// @param[in] stride  known id stride of the service; 0 if unknown
-    explicit passed_events(std::string after = {}, std::uint64_t step = 0);
+    explicit delivered_events(std::string after = {}, std::uint64_t stride = 0);
 
     /// @brief checks whether `event` directly follows `last_id`, so that no event is missing or repeated
     ///
     /// The expected id stride comes from the delivered events or from other streams of the service. If
     /// neither is known after one event, it is assumed to be one.
     /// @param[in] event  the first event with an id or data of a resumed stream
-    bool may_follow(const stream_event& event) const;
+    bool may_follow(const sse_event& event) const;
 
-    void take(const stream_event& event);
+    void add(const sse_event& event);
 
     /// @return number of events with data
     std::uint64_t count() const
@@ -52,22 +52,22 @@
     }
 
     /// @return the id stride; 0 if it was not constant; nothing before two events
-    std::optional<std::uint64_t> step() const;
+    std::optional<std::uint64_t> stride() const;
 
   private:
-    void note_step(const std::string& id);
+    void record_stride(const std::string& id);
     /// @return the expected stride of the next id; 0 if any greater id is accepted
-    std::uint64_t expected_step() const;
+    std::uint64_t expected_stride() const;
 
     std::uint64_t m_count = 0;
     std::string m_data;
     std::string m_last_id;
     bool m_last_has_id = false;
-    std::uint64_t m_known_step;
+    std::uint64_t m_known_stride;
     /// stride of the delivered ids; 0 if it was not constant
-    std::uint64_t m_step = 0;
+    std::uint64_t m_stride = 0;
     /// number of consecutive id pairs compared
-    std::uint64_t m_steps_seen = 0;
+    std::uint64_t m_strides_seen = 0;
 };
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/streams/event_cutter.cc
+++ b/src/forwarding/streams/sse_parser.cc
@@ -1,4 +1,4 @@
-#include "forwarding/streams/event_cutter.h"
+#include "forwarding/streams/sse_parser.h"
 
 #include <utility>
 
@@ -16,24 +16,24 @@
 /// @return the position after the first blank line, or npos
 std::size_t end_of_event(absl::string_view text, std::size_t& from)
 {
-    std::size_t feed = text.find('\n', from);
-    while (feed != absl::string_view::npos)
+    std::size_t line_feed = text.find('\n', from);
+    while (line_feed != absl::string_view::npos)
     {
-        std::size_t next = feed + 1;
+        std::size_t next = line_feed + 1;
         if (next < text.size() && text[next] == '\r')
         {
             ++next;
         }
         if (next >= text.size())
         {
-            from = feed;
+            from = line_feed;
             return absl::string_view::npos;
         }
         if (text[next] == '\n')
         {
             return next + 1;
         }
-        feed = text.find('\n', feed + 1);
+        line_feed = text.find('\n', line_feed + 1);
     }
     from = text.size();
     return absl::string_view::npos;
@@ -46,9 +46,9 @@
     return rest;
 }
 
-stream_event read_event(absl::string_view text)
+sse_event read_event(absl::string_view text)
 {
-    stream_event event;
+    sse_event event;
     event.m_text = std::string(text);
     for (absl::string_view line : absl::StrSplit(text, '\n'))
     {
@@ -75,15 +75,15 @@
 
 }  // namespace
 
-std::vector<stream_event> event_cutter::feed(absl::string_view bytes)
+std::vector<sse_event> sse_parser::feed(absl::string_view bytes)
 {
     absl::StrAppend(&m_unfinished, bytes);
-    std::vector<stream_event> events;
-    std::size_t taken = 0;
+    std::vector<sse_event> events;
+    std::size_t consumed = 0;
     while (true)
     {
-        absl::string_view rest = absl::string_view(m_unfinished).substr(taken);
-        std::size_t from = taken == 0 ? m_scanned : 0;
+        absl::string_view rest = absl::string_view(m_unfinished).substr(consumed);
+        std::size_t from = consumed == 0 ? m_scanned : 0;
         std::size_t end = end_of_event(rest, from);
         if (end == absl::string_view::npos)
         {
@@ -91,13 +91,13 @@
             break;
         }
         events.push_back(read_event(rest.substr(0, end)));
-        taken += end;
+        consumed += end;
     }
-    m_unfinished.erase(0, taken);
+    m_unfinished.erase(0, consumed);
     return events;
 }
 
-stream_event event_cutter::unfinished_event() const
+sse_event sse_parser::unfinished_event() const
 {
     return read_event(m_unfinished);
 }
--- a/src/forwarding/streams/event_cutter.h
+++ b/src/forwarding/streams/sse_parser.h
@@ -11,7 +11,7 @@
 {
 
 /// @brief a complete event, including the blank line that ends it
-struct stream_event
+struct sse_event
 {
     /// the event's bytes, unchanged
     std::string m_text;
@@ -21,12 +21,12 @@
 };
 
 /// @brief parses the response body of one attempt
-class event_cutter
+class sse_parser
 {
   public:
     /// @brief appends a piece of the stream of any length
     /// @return the events completed by it
-    std::vector<stream_event> feed(absl::string_view bytes);
+    std::vector<sse_event> feed(absl::string_view bytes);
 
     /// @return the bytes of the incomplete last event
     const std::string& unfinished() const
@@ -35,7 +35,7 @@
     }
 
     /// @return the incomplete last event, parsed as if a blank line followed
-    stream_event unfinished_event() const;
+    sse_event unfinished_event() const;
 
   private:
     std::string m_unfinished;
--- a/tests/forwarding/streams/passed_events_test.cc
+++ b/tests/forwarding/streams/delivered_events_test.cc
@@ -1,4 +1,4 @@
-#include "forwarding/streams/passed_events.h"
+#include "forwarding/streams/delivered_events.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -11,9 +11,9 @@
 {
 
 /// @param[in] id  event id; empty for an event without an id
-stream_event event_with(const std::string& id)
+sse_event event_with(const std::string& id)
 {
-    stream_event event;
+    sse_event event;
     event.m_text = "id: " + id + "\ndata: d\n\n";
     event.m_data = "d";
     if (!id.empty())
@@ -29,12 +29,12 @@
     const char* m_name;
     /// the client's Last-Event-Id
     std::string m_after;
-    std::vector<std::string> m_passed;
+    std::vector<std::string> m_delivered;
     std::string m_next;
     bool m_may_follow;
     bool m_can_be_resumed;
     /// learned from other streams of the service
-    std::uint64_t m_known_step = 0;
+    std::uint64_t m_known_stride = 0;
 };
 
 class MayFollowTest : public ::testing::TestWithParam<follow_case>
@@ -44,13 +44,13 @@
 TEST_P(MayFollowTest, ChecksTheFirstEvent)
 {
     const follow_case& test = GetParam();
-    passed_events passed(test.m_after, test.m_known_step);
-    for (const std::string& id : test.m_passed)
+    delivered_events delivered(test.m_after, test.m_known_stride);
+    for (const std::string& id : test.m_delivered)
     {
-        passed.take(event_with(id));
+        delivered.add(event_with(id));
     }
-    EXPECT_EQ(passed.may_follow(event_with(test.m_next)), test.m_may_follow);
-    EXPECT_EQ(passed.can_be_resumed(), test.m_can_be_resumed);
+    EXPECT_EQ(delivered.may_follow(event_with(test.m_next)), test.m_may_follow);
+    EXPECT_EQ(delivered.can_be_resumed(), test.m_can_be_resumed);
 }
 
 const follow_case follow_cases[] = {
@@ -90,20 +90,20 @@
                              return std::string(info.param.m_name);
                          });
 
-RC_GTEST_PROP(PassedEventsTest, AcceptsOnlyTheNextId, ())
+RC_GTEST_PROP(DeliveredEventsTest, AcceptsOnlyTheNextId, ())
 {
     auto first = *rc::gen::inRange<std::uint64_t>(0, 1000);
-    auto step = *rc::gen::inRange<std::uint64_t>(1, 50);
+    auto stride = *rc::gen::inRange<std::uint64_t>(1, 50);
     auto count = *rc::gen::inRange<std::uint64_t>(2, 20);
-    auto begins = *rc::gen::inRange<std::uint64_t>(0, 3000);
-    passed_events passed;
+    auto start_id = *rc::gen::inRange<std::uint64_t>(0, 3000);
+    delivered_events delivered;
     for (std::uint64_t number = 0; number < count; ++number)
     {
-        passed.take(event_with(std::to_string(first + number * step)));
+        delivered.add(event_with(std::to_string(first + number * stride)));
     }
-    bool in_place = begins == first + count * step;
-    RC_ASSERT(passed.may_follow(event_with(std::to_string(begins))) == in_place);
-    RC_ASSERT(passed.may_follow(event_with(std::to_string(first + count * step))));
+    bool in_order = start_id == first + count * stride;
+    RC_ASSERT(delivered.may_follow(event_with(std::to_string(start_id))) == in_order);
+    RC_ASSERT(delivered.may_follow(event_with(std::to_string(first + count * stride))));
 }
 
 }  // namespace
--- a/tests/fuzz/text_targets.cc
+++ b/tests/fuzz/text_targets.cc
@@ -3,8 +3,8 @@
 
 #include "bundle/bundle.h"
 #include "bundle/roll_manager.h"
-#include "forwarding/streams/event_cutter.h"
-#include "forwarding/streams/passed_events.h"
+#include "forwarding/streams/delivered_events.h"
+#include "forwarding/streams/sse_parser.h"
 #include "fuzz/target.h"
 #include "settings/settings.h"
 
@@ -17,8 +17,7 @@
 /// is in it, its former place and twice as much in the new one.
 constexpr std::size_t kShortestEvent = 2;
 constexpr std::size_t kGrowth = 3;
-constexpr std::size_t kEventBytesForEach =
-    kGrowth * sizeof(forwarding::stream_event) / kShortestEvent;
+constexpr std::size_t kEventBytesForEach = kGrowth * sizeof(forwarding::sse_event) / kShortestEvent;
 
 const std::vector<std::string> kTomlWords = {"[",
                                              "]",
@@ -73,18 +72,18 @@
 /// The same events must come of the same bytes, however they arrive, and no byte may be lost.
 bool CutEvents(const std::string& input) {
   auto cut = [&](std::size_t piece) {
-    forwarding::event_cutter cutter;
-    forwarding::passed_events passed;
+    forwarding::sse_parser parser;
+    forwarding::delivered_events delivered;
     std::string whole;
     for (std::size_t at = 0; at < input.size(); at += piece) {
-      for (const auto& event : cutter.feed(absl::string_view(input).substr(at, piece))) {
+      for (const auto& event : parser.feed(absl::string_view(input).substr(at, piece))) {
         whole += event.m_text;
-        passed.may_follow(event);  // Whatever ids the other run has.
-        passed.take(event);
+        delivered.may_follow(event);  // Whatever ids the other run has.
+        delivered.add(event);
       }
     }
-    EXPECT_EQ(whole + cutter.unfinished(), input);
-    return std::make_pair(whole, passed.data());
+    EXPECT_EQ(whole + parser.unfinished(), input);
+    return std::make_pair(whole, delivered.data());
   };
   auto at_once = cut(std::max<std::size_t>(1, input.size()));
   EXPECT_EQ(at_once, cut(1 + input.size() / 7));
