--- a/src/forwarding/quota/quota_client.cc
+++ b/src/forwarding/quota/quota_client.cc
@@ -15,10 +15,10 @@
 {
 
 /// limit that keeps the frames of a batch and its reply within one packet
-constexpr std::size_t most_requests = 100;
+constexpr std::size_t max_batch_size = 100;
 
 /// The slack is shared by all gateways, so the local limiter of one gateway gets none.
-tenancy::quota_bounds bounds_of_share(tenancy::quota_bounds bounds)
+tenancy::quota_bounds without_slack(tenancy::quota_bounds bounds)
 {
     bounds.m_slack = 0;
     return bounds;
@@ -27,49 +27,49 @@
 }  // namespace
 
 quota_client::quota_client(async_http::asio::io_context& context, turn_ledger::LedgerClient& ledger,
-                           const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateways)
+                           const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateway_count)
     : m_context(context),
       m_ledger(ledger),
-      m_gateways(std::move(gateways)),
+      m_gateway_count(std::move(gateway_count)),
       m_window(bounds.m_window),
-      m_own_share(bounds_of_share(bounds))
+      m_local_limiter(without_slack(bounds))
 {
 }
 
-tenancy::quota_answer quota_client::take_own_share(tenancy::quota_request request)
+tenancy::quota_answer quota_client::decide_locally(tenancy::quota_request request)
 {
     tenancy::instant now = SteadyInstant();
-    if (now - m_own_used > m_window)
+    if (now - m_local_last_used > m_window)
     {
-        m_own_share.reset(now);  // The ledger has counted since and may have granted the burst.
+        m_local_limiter.reset(now);  // The ledger has counted since and may have granted the burst.
     }
-    m_own_used = now;
-    double gateways = std::max<std::uint32_t>(1, m_gateways());
-    request.m_limit.m_rate /= gateways;
-    request.m_limit.m_burst /= gateways;
+    m_local_last_used = now;
+    double gateway_count = std::max<std::uint32_t>(1, m_gateway_count());
+    request.m_limit.m_rate /= gateway_count;
+    request.m_limit.m_burst /= gateway_count;
     // A new version each time, since the share changes with the number of gateways.
-    request.m_version = ++m_own_decisions;
-    return m_own_share.take(now, request);
+    request.m_version = ++m_local_decisions;
+    return m_local_limiter.take(now, request);
 }
 
 Task<quota_decision> quota_client::admit(const tenancy::tenant& tenant, std::uint64_t version,
                                          std::uint64_t program, absl::Time deadline)
 {
-    std::unique_ptr<queue>& of = m_queues[tenant.m_name];
-    if (!of)
+    std::unique_ptr<tenant_queue>& queue = m_queues[tenant.m_name];
+    if (!queue)
     {
-        of = std::make_unique<queue>();
+        queue = std::make_unique<tenant_queue>();
     }
-    of->m_limit = version >= of->m_version ? tenant.m_limit : of->m_limit;
-    of->m_version = std::max(of->m_version, version);
-    auto request = std::make_shared<waiting>(m_context);
+    queue->m_limit = version >= queue->m_version ? tenant.m_limit : queue->m_limit;
+    queue->m_version = std::max(queue->m_version, version);
+    auto request = std::make_shared<pending_request>(m_context);
     request->m_program = program;
     request->m_deadline = deadline;
-    of->m_waiting.push_back(request);
-    if (!of->m_asking)
+    queue->m_pending.push_back(request);
+    if (!queue->m_sending)
     {
-        of->m_asking = true;
-        async_http::asio::co_spawn(m_context, ask(tenant.m_name), async_http::asio::detached);
+        queue->m_sending = true;
+        async_http::asio::co_spawn(m_context, send_batches(tenant.m_name), async_http::asio::detached);
     }
     while (!request->m_done && SteadyNow() < deadline)
     {
@@ -78,51 +78,51 @@
     co_return request->m_decision;
 }
 
-Task<void> quota_client::ask(std::string tenant)
+Task<void> quota_client::send_batches(std::string tenant)
 {
-    while (!m_queues[tenant]->m_waiting.empty())
+    while (!m_queues[tenant]->m_pending.empty())
     {
-        co_await ask_once(tenant);
+        co_await send_batch(tenant);
     }
     // Idle tenants are removed, since a new configuration may no longer have them.
     m_queues.erase(tenant);
 }
 
-Task<void> quota_client::ask_once(std::string tenant)
+Task<void> quota_client::send_batch(std::string tenant)
 {
-    queue& of = *m_queues[tenant];
-    std::vector<std::shared_ptr<waiting>> asked;
-    tenancy::quota_request request{tenant, of.m_limit, of.m_version, {}};
+    tenant_queue& queue = *m_queues[tenant];
+    std::vector<std::shared_ptr<pending_request>> batch;
+    tenancy::quota_request request{tenant, queue.m_limit, queue.m_version, {}};
     absl::Time deadline = absl::InfinitePast();
-    while (!of.m_waiting.empty() && asked.size() < most_requests)
+    while (!queue.m_pending.empty() && batch.size() < max_batch_size)
     {
-        asked.push_back(std::move(of.m_waiting.front()));
-        of.m_waiting.pop_front();
-        request.m_programs.push_back(asked.back()->m_program);
-        deadline = std::max(deadline, asked.back()->m_deadline);
+        batch.push_back(std::move(queue.m_pending.front()));
+        queue.m_pending.pop_front();
+        request.m_programs.push_back(batch.back()->m_program);
+        deadline = std::max(deadline, batch.back()->m_deadline);
     }
-    ++m_questions;
+    ++m_batches_sent;
     GroupId group = m_ledger.GroupOf(ProgramId(tenant));
     // A named variable, since GCC 12 destroys braced temporaries in co_await arguments twice.
     turn_ledger::Operation operation = turn_ledger::TakeQuota{request};
     turn_ledger::CallResult result = co_await m_ledger.Call(group, std::move(operation), deadline);
     if (result.end == turn_ledger::CallEnd::kUnsupported)
     {
-        result->quota = take_own_share(std::move(request));
+        result->quota = decide_locally(std::move(request));
         result.end = turn_ledger::CallEnd::kDone;
     }
     const std::vector<std::int32_t>& waits = result->quota.m_waits_ms;
-    for (std::size_t index = 0; index < asked.size(); ++index)
+    for (std::size_t index = 0; index < batch.size(); ++index)
     {
-        asked[index]->m_done = true;
+        batch[index]->m_done = true;
         if (result && index < waits.size())
         {
             bool refused = waits[index] == tenancy::quota_answer::refused;
-            asked[index]->m_decision = {refused ? quota_verdict::refused : quota_verdict::granted,
+            batch[index]->m_decision = {refused ? quota_verdict::refused : quota_verdict::granted,
                                         std::chrono::milliseconds(std::max(waits[index], 0)),
                                         std::chrono::milliseconds(result->quota.m_retry_after_ms)};
         }
-        asked[index]->m_decided.Notify();
+        batch[index]->m_decided.Notify();
     }
 }
 
--- a/src/forwarding/quota/quota_client.h
+++ b/src/forwarding/quota/quota_client.h
@@ -43,7 +43,7 @@
     /// @param[in] bounds  accuracy of the rate limits
     /// @param[in] gateway_count  returns the current number of gateways
     quota_client(async_http::asio::io_context& context, turn_ledger::LedgerClient& ledger,
-                 const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateways);
+                 const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateway_count);
 
     /// @brief checks one request against the quota of its tenant
     /// @param[in] version  version of the configuration that `tenant` is from
@@ -52,22 +52,22 @@
                                            std::uint64_t program, absl::Time deadline);
 
     /// @return number of decisions by the local limiter
-    std::uint64_t own_decisions() const
+    std::uint64_t local_decisions() const
     {
-        return m_own_decisions;
+        return m_local_decisions;
     }
 
     /// @return number of batches sent to the ledger
-    std::uint64_t questions() const
+    std::uint64_t batches_sent() const
     {
-        return m_questions;
+        return m_batches_sent;
     }
 
   private:
     /// a request that waits for its decision
-    struct waiting
+    struct pending_request
     {
-        explicit waiting(async_http::asio::io_context& context) : m_decided(context)
+        explicit pending_request(async_http::asio::io_context& context) : m_decided(context)
         {
         }
         async_http::Signal m_decided;
@@ -78,29 +78,29 @@
     };
 
     /// the pending requests of one tenant
-    struct queue
+    struct tenant_queue
     {
         tenancy::rate_limit m_limit;
         std::uint64_t m_version = 0;
-        std::deque<std::shared_ptr<waiting>> m_waiting;
-        bool m_asking = false;
+        std::deque<std::shared_ptr<pending_request>> m_pending;
+        bool m_sending = false;
     };
 
-    async_http::Task<void> ask(std::string tenant);
-    async_http::Task<void> ask_once(std::string tenant);
+    async_http::Task<void> send_batches(std::string tenant);
+    async_http::Task<void> send_batch(std::string tenant);
 
     /// @brief decides by this gateway's share of the limit, for ledger leaders of builds without quotas
-    tenancy::quota_answer take_own_share(tenancy::quota_request request);
+    tenancy::quota_answer decide_locally(tenancy::quota_request request);
 
     async_http::asio::io_context& m_context;
     turn_ledger::LedgerClient& m_ledger;
-    std::function<std::uint32_t()> m_gateways;
+    std::function<std::uint32_t()> m_gateway_count;
     std::chrono::milliseconds m_window;
-    tenancy::rate_limiter m_own_share;
-    tenancy::instant m_own_used;
-    std::uint64_t m_own_decisions = 0;
-    absl::flat_hash_map<std::string, std::unique_ptr<queue>> m_queues;
-    std::uint64_t m_questions = 0;
+    tenancy::rate_limiter m_local_limiter;
+    tenancy::instant m_local_last_used;
+    std::uint64_t m_local_decisions = 0;
+    absl::flat_hash_map<std::string, std::unique_ptr<tenant_queue>> m_queues;
+    std::uint64_t m_batches_sent = 0;
 };
 
 }  // namespace martenyard::forwarding
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -532,8 +532,8 @@
   metrics.Set("active_requests", static_cast<double>(frontend_.stats().active_exchanges));
   metrics.Set("log_lines_dropped", static_cast<double>(log_.stats().dropped_lines));
   metrics.Set("ledger_retries", static_cast<double>(state_->ledger->retries()));
-  metrics.Set("quota_questions", static_cast<double>(state_->quotas->questions()));
-  metrics.Set("quota_own_decisions", static_cast<double>(state_->quotas->own_decisions()));
+  metrics.Set("quota_questions", static_cast<double>(state_->quotas->batches_sent()));
+  metrics.Set("quota_own_decisions", static_cast<double>(state_->quotas->local_decisions()));
   metrics.Set("ledger_relayed", static_cast<double>(state_->ledger->relayed()));
   metrics.Set("store_calls", static_cast<double>(store_.calls()));
   SetStoreMetrics();
