--- a/src/forwarding/history/history_fetch.cc
+++ b/src/forwarding/history/history_fetch.cc
@@ -15,7 +15,7 @@
 using async_http::Task;
 
 /// upper bound of a single wait; the readers have shorter timeouts of their own
-constexpr std::chrono::seconds wait_bound{1};
+constexpr std::chrono::seconds max_wait{1};
 
 std::optional<turn_ledger::TurnId> turn_of(const std::optional<RequestId>& request)
 {
@@ -46,52 +46,52 @@
 
 history_fetch::history_fetch(const std::shared_ptr<GatewayState>& state, const ProgramId& program,
                              const RequestId& previous)
-    : m_part(std::make_shared<shared_part>(state->context))
+    : m_shared(std::make_shared<shared_state>(state->context))
 {
-    m_part->m_chain = state->turns.Find(previous);
-    if (m_part->m_chain != nullptr)
+    m_shared->m_chain = state->turns.Find(previous);
+    if (m_shared->m_chain != nullptr)
     {
-        m_part->m_source = history_source::cache;
-        m_part->m_done = true;
+        m_shared->m_source = history_source::cache;
+        m_shared->m_done = true;
         return;
     }
-    async_http::asio::co_spawn(state->context, read(state, m_part, program, previous),
+    async_http::asio::co_spawn(state->context, read(state, m_shared, program, previous),
                                async_http::asio::detached);
 }
 
-Task<void> history_fetch::read(std::shared_ptr<GatewayState> state, std::shared_ptr<shared_part> part,
+Task<void> history_fetch::read(std::shared_ptr<GatewayState> state, std::shared_ptr<shared_state> shared,
                                ProgramId program, RequestId previous)
 {
-    std::optional<RequestId> known = state->turns.LatestOf(program);
+    std::optional<RequestId> cached = state->turns.LatestOf(program);
     // Holds a reference, since the cache may evict the chain meanwhile.
-    std::shared_ptr<const std::string> known_chain = known ? state->turns.Find(*known) : nullptr;
+    std::shared_ptr<const std::string> cached_chain = cached ? state->turns.Find(*cached) : nullptr;
     auto reply = co_await state->chains->read(state->ledger->GroupOf(program),
-                                              turn_ledger::TurnId(previous.value), turn_of(known));
-    if (reply && reply->m_after_known && known_chain != nullptr)
+                                              turn_ledger::TurnId(previous.value), turn_of(cached));
+    if (reply && reply->m_after_known && cached_chain != nullptr)
     {
-        part->m_chain = std::make_shared<std::string>(absl::StrCat(*known_chain, reply->m_text));
-        part->m_source = history_source::cache_and_replica;
+        shared->m_chain = std::make_shared<std::string>(absl::StrCat(*cached_chain, reply->m_text));
+        shared->m_source = history_source::cache_and_replica;
     }
     else if (reply && !reply->m_after_known)
     {
-        part->m_chain = std::make_shared<std::string>(std::move(reply->m_text));
-        part->m_source = history_source::replica;
+        shared->m_chain = std::make_shared<std::string>(std::move(reply->m_text));
+        shared->m_source = history_source::replica;
     }
-    if (part->m_chain != nullptr)
+    if (shared->m_chain != nullptr)
     {
-        state->turns.Put(program, previous, part->m_chain);
+        state->turns.Put(program, previous, shared->m_chain);
     }
-    part->m_done = true;
-    part->m_arrived.Notify();
+    shared->m_done = true;
+    shared->m_completed.Notify();
 }
 
 Task<std::shared_ptr<const std::string>> history_fetch::wait()
 {
-    while (!m_part->m_done)
+    while (!m_shared->m_done)
     {
-        co_await m_part->m_arrived.Wait(absl::FromChrono(wait_bound));
+        co_await m_shared->m_completed.Wait(absl::FromChrono(max_wait));
     }
-    co_return m_part->m_chain;
+    co_return m_shared->m_chain;
 }
 
 namespace
@@ -100,12 +100,12 @@
 /// state shared by the coroutines of one search
 struct search_state
 {
-    explicit search_state(async_http::asio::io_context& context) : m_arrived(context)
+    explicit search_state(async_http::asio::io_context& context) : m_completed(context)
     {
     }
-    async_http::Signal m_arrived;
-    std::size_t m_open = 0;
-    foreign_search m_result;
+    async_http::Signal m_completed;
+    std::size_t m_pending = 0;
+    other_groups_result m_result;
 };
 
 Task<void> search_group(std::shared_ptr<GatewayState> state, std::shared_ptr<search_state> search,
@@ -122,14 +122,14 @@
     {
         search->m_result.m_chain = std::make_shared<std::string>(std::move(result->history));
     }
-    --search->m_open;
-    search->m_arrived.Notify();
+    --search->m_pending;
+    search->m_completed.Notify();
 }
 
 }  // namespace
 
-Task<foreign_search> search_other_groups(std::shared_ptr<GatewayState> state, GroupId own, RequestId turn,
-                                         absl::Time deadline)
+Task<other_groups_result> search_other_groups(std::shared_ptr<GatewayState> state, GroupId own,
+                                              RequestId turn, absl::Time deadline)
 {
     auto search = std::make_shared<search_state>(state->context);
     search->m_result.m_complete = true;
@@ -138,21 +138,21 @@
         GroupId group = turn_ledger::group_at(index);
         if (group != own)
         {
-            ++search->m_open;
+            ++search->m_pending;
             async_http::asio::co_spawn(state->context, search_group(state, search, group, turn, deadline),
                                        async_http::asio::detached);
         }
     }
-    while (search->m_open > 0 && search->m_result.m_chain == nullptr)
+    while (search->m_pending > 0 && search->m_result.m_chain == nullptr)
     {
-        co_await search->m_arrived.Wait(absl::FromChrono(wait_bound));
+        co_await search->m_completed.Wait(absl::FromChrono(max_wait));
     }
     co_return search->m_result;
 }
 
 history_source history_fetch::source() const
 {
-    return m_part->m_source;
+    return m_shared->m_source;
 }
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/history/history_fetch.h
+++ b/src/forwarding/history/history_fetch.h
@@ -24,7 +24,7 @@
 };
 
 /// @brief result of searching the other groups for a turn that belongs to another program
-struct foreign_search
+struct other_groups_result
 {
     /// all groups have replied: without a chain, the turn does not exist
     bool m_complete = false;
@@ -33,8 +33,8 @@
 };
 
 /// @brief asks all groups except `own` for a turn concurrently
-async_http::Task<foreign_search> search_other_groups(std::shared_ptr<GatewayState> state, GroupId own,
-                                                     RequestId turn, absl::Time deadline);
+async_http::Task<other_groups_result> search_other_groups(std::shared_ptr<GatewayState> state, GroupId own,
+                                                          RequestId turn, absl::Time deadline);
 
 /// @return the name used in log lines
 const char* name_of(history_source source);
@@ -55,21 +55,22 @@
 
   private:
     /// shared with the loading coroutine, which may outlive the request
-    struct shared_part
+    struct shared_state
     {
-        explicit shared_part(async_http::asio::io_context& context) : m_arrived(context)
+        explicit shared_state(async_http::asio::io_context& context) : m_completed(context)
         {
         }
-        async_http::Signal m_arrived;
+        async_http::Signal m_completed;
         bool m_done = false;
         history_source m_source = history_source::none;
         std::shared_ptr<const std::string> m_chain;
     };
 
-    static async_http::Task<void> read(std::shared_ptr<GatewayState> state, std::shared_ptr<shared_part> part,
-                                       ProgramId program, RequestId previous);
+    static async_http::Task<void> read(std::shared_ptr<GatewayState> state,
+                                       std::shared_ptr<shared_state> shared, ProgramId program,
+                                       RequestId previous);
 
-    std::shared_ptr<shared_part> m_part;
+    std::shared_ptr<shared_state> m_shared;
 };
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -327,7 +327,8 @@
 
 Task<turn_ledger::CallResult> RequestRun::ReserveOnForeignTurn(turn_ledger::ReserveTurn reserve,
                                                                absl::Time patience) {
-  foreign_search search = co_await search_other_groups(state_, group_, *previous_turn_, patience);
+  other_groups_result search =
+      co_await search_other_groups(state_, group_, *previous_turn_, patience);
   if (search.m_chain != nullptr) {
     // The chain is stored in this program's group as the start of the new turn.
     foreign_history_ = search.m_chain;
