--- a/src/forwarding/admission/program_admission.h
+++ b/src/forwarding/admission/program_admission.h
@@ -25,31 +25,31 @@
 struct admission_options
 {
     /// active requests per slot from which on new programs are refused; see docs/design/0008
-    double m_most_load = 0.7;
+    double m_max_load = 0.7;
     /// retry delay of a refused program as a share of the time left until its deadline
-    double m_pause_share = 0.05;
+    double m_retry_delay_share = 0.05;
     /// clients accept a retry delay of at most a third of their attempt's time
-    std::chrono::milliseconds m_longest_pause{1000};
-    std::chrono::milliseconds m_least_pause{100};
+    std::chrono::milliseconds m_max_retry_delay{1000};
+    std::chrono::milliseconds m_min_retry_delay{100};
 };
 
 /// @param[in] remaining  time left until the program's deadline, if it has one
 /// @param[in] jitter     from 0 to 1; spreads the retries of programs refused together
 /// @return the retry delay of a refused program
-inline std::chrono::milliseconds program_pause(std::optional<std::chrono::milliseconds> left, double spread,
-                                               const admission_options& options)
+inline std::chrono::milliseconds program_retry_delay(std::optional<std::chrono::milliseconds> remaining,
+                                                     double jitter, const admission_options& options)
 {
     using std::chrono::milliseconds;
     std::chrono::duration<double, std::milli> mean =
-        left ? *left * options.m_pause_share : options.m_longest_pause / 2.0;
-    auto wanted = std::chrono::duration_cast<milliseconds>(mean * (1 + spread));
-    return std::clamp(wanted, options.m_least_pause, options.m_longest_pause);
+        remaining ? *remaining * options.m_retry_delay_share : options.m_max_retry_delay / 2.0;
+    auto delay = std::chrono::duration_cast<milliseconds>(mean * (1 + jitter));
+    return std::clamp(delay, options.m_min_retry_delay, options.m_max_retry_delay);
 }
 
 /// @return whether a new program may begin
 inline bool admits_program(const engine_load& load, const admission_options& options)
 {
-    return load.m_slots == 0 || load.m_active < options.m_most_load * load.m_slots;
+    return load.m_slots == 0 || load.m_active < options.m_max_load * load.m_slots;
 }
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -266,7 +266,8 @@
   if (info_.program_deadline) {
     left = std::chrono::milliseconds(absl::ToInt64Milliseconds(*info_.program_deadline));
   }
-  return absl::FromChrono(program_pause(left, state_->random.Uniform(), state_->options.admission));
+  return absl::FromChrono(
+      program_retry_delay(left, state_->random.Uniform(), state_->options.admission));
 }
 
 Task<bool> RequestRun::TakeVerdict(const turn_ledger::CallResult& result, Line& line) {
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -86,7 +86,7 @@
     state.runners = discovery::RunnerTable(health);
   }
   if (!policy.on(mechanism::program_admission)) {
-    options.admission.m_most_load = std::numeric_limits<double>::infinity();
+    options.admission.m_max_load = std::numeric_limits<double>::infinity();
   }
   options.uses_turn_places = policy.on(mechanism::turn_places);
   options.reads_replicas = policy.on(mechanism::replica_chains);
--- a/src/roles/policy/knobs.cc
+++ b/src/roles/policy/knobs.cc
@@ -16,8 +16,8 @@
 Result<void> set_knobs(absl::string_view text, forwarding::ForwardingOptions& options)
 {
     const std::map<absl::string_view, double*> knobs = {
-        {"most_load", &options.admission.m_most_load},
-        {"pause_share", &options.admission.m_pause_share},
+        {"most_load", &options.admission.m_max_load},
+        {"pause_share", &options.admission.m_retry_delay_share},
         {"tokens_per_ms", &options.choice.tokens_per_ms},
         {"active_cost_ms", &options.choice.active_cost_ms},
         {"engine_wait_ms", &options.choice.engine_wait_ms},
--- a/tests/platform/explain_test.cc
+++ b/tests/platform/explain_test.cc
@@ -36,7 +36,7 @@
 TEST(ExplainTest, FullEnginesAreNamedWithTheirFigures) {
   PlatformWorld world;
   world.Start();
-  world.gateway().state().options.admission.m_most_load = 0;
+  world.gateway().state().options.admission.m_max_load = 0;
   ClientRequest request;
   request.target = "/stream/1";
   request.headers = {"Program-Id: p", "Token-Budget: 150", "Token-Usage: 10,100"};
--- a/tests/platform/program_admission_contract_test.cc
+++ b/tests/platform/program_admission_contract_test.cc
@@ -22,7 +22,7 @@
   PlatformWorld world;
   world.Start();
   EXPECT_TRUE(world.Ask(Turn("turn-1", "under-way")).whole);
-  world.gateway().state().options.admission.m_most_load = 0;  // As if every engine were full.
+  world.gateway().state().options.admission.m_max_load = 0;  // As if every engine were full.
   ClientRequest begins = Turn("turn-2", "new");
   begins.headers.push_back("Program-Deadline-Ms: 8000");
   ClientAnswer refused = world.Ask(begins);
@@ -34,18 +34,18 @@
   EXPECT_EQ(world.Ask(Turn("turn-3", "under-way")).status, 200U);
   EXPECT_EQ(world.a().runs() + world.b().runs(), 2) << "the refused one never ran";
   // The refusal reserved nothing and left no trace: the program begins when there is room.
-  world.gateway().state().options.admission.m_most_load = 0.9;
+  world.gateway().state().options.admission.m_max_load = 0.9;
   EXPECT_EQ(world.Ask(Turn("turn-4", "new")).status, 200U);
 }
 
 TEST(ProgramAdmissionTest, PauseFollowsTheProgramsTimeWithinLimits) {
   using std::chrono::milliseconds;
   forwarding::admission_options options;
-  EXPECT_EQ(forwarding::program_pause(milliseconds(4000), 0.0, options), milliseconds(200));
-  EXPECT_EQ(forwarding::program_pause(milliseconds(4000), 1.0, options), milliseconds(400));
-  EXPECT_EQ(forwarding::program_pause(milliseconds(100), 0.0, options), milliseconds(100));
-  EXPECT_EQ(forwarding::program_pause(milliseconds(60000), 0.5, options), milliseconds(1000));
-  EXPECT_EQ(forwarding::program_pause(std::nullopt, 0.0, options), milliseconds(500));
+  EXPECT_EQ(forwarding::program_retry_delay(milliseconds(4000), 0.0, options), milliseconds(200));
+  EXPECT_EQ(forwarding::program_retry_delay(milliseconds(4000), 1.0, options), milliseconds(400));
+  EXPECT_EQ(forwarding::program_retry_delay(milliseconds(100), 0.0, options), milliseconds(100));
+  EXPECT_EQ(forwarding::program_retry_delay(milliseconds(60000), 0.5, options), milliseconds(1000));
+  EXPECT_EQ(forwarding::program_retry_delay(std::nullopt, 0.0, options), milliseconds(500));
 }
 
 TEST(ProgramAdmissionTest, ServiceWithoutKnownEnginesRefusesNobody) {
@@ -57,7 +57,7 @@
 TEST(ProgramAdmissionTest, CallsOutsideOfProgramsAreNotHeldBack) {
   PlatformWorld world;
   world.Start();
-  world.gateway().state().options.admission.m_most_load = 0;
+  world.gateway().state().options.admission.m_max_load = 0;
   ClientRequest call;
   EXPECT_EQ(world.Ask(call).status, 200U);
 }
