--- a/src/forwarding/attempt.cc
+++ b/src/forwarding/attempt.cc
@@ -18,7 +18,7 @@
 
 /// Larger requests are sent while reading: a runner may respond before it has read the whole body.
 constexpr std::size_t kInlineSendBytes = 4096;
-constexpr int kForeignAnswers = 4;  ///< Skipped on one connection before it is closed.
+constexpr int kMaxMismatchedResponses = 4;  ///< Skipped on one connection before it is closed.
 
 absl::string_view FieldOf(const async_http::HttpHead& head, const std::string& name) {
   auto found = head.find(name);
@@ -36,70 +36,71 @@
   return parser.content_length() ? "length" : "close";
 }
 
-bool IsEventStream(const async_http::HttpHead& head) {
+bool IsSuccess(const async_http::HttpHead& head) {
   return http::to_status_class(head.result()) == http::status_class::successful;
 }
 
 }  // namespace
 
-void Attempt::Abort(AttemptEnd end) {
+void Attempt::Abort(AttemptOutcome outcome) {
   if (aborted_) {
     return;
   }
   aborted_ = true;
-  abort_end_ = end;
+  abort_outcome_ = outcome;
   if (connection_) {
     connection_->Close();
   }
 }
 
-AttemptEnd Attempt::FailureEnd(AttemptEnd otherwise) const {
-  return aborted_ ? abort_end_ : otherwise;
+AttemptOutcome Attempt::FailureOutcome(AttemptOutcome fallback) const {
+  return aborted_ ? abort_outcome_ : fallback;
 }
 
 Task<AttemptResult> Attempt::Run(StreamSink& sink) {
   AttemptResult result;
-  absl::Time began = SteadyNow();
+  absl::Time start = SteadyNow();
   if (!co_await Connect(result)) {
     // Nothing was sent, so the request has not run, whatever the error was.
-    bool gone = aborted_ && abort_end_ == AttemptEnd::kClientGone;
-    result.end = gone ? AttemptEnd::kClientGone : AttemptEnd::kNotSent;
+    bool gone = aborted_ && abort_outcome_ == AttemptOutcome::kClientGone;
+    result.outcome = gone ? AttemptOutcome::kClientGone : AttemptOutcome::kNotSent;
     co_return result;
   }
-  state_.metrics.Observe(Stage::kConnect, SteadyNow() - began);
+  state_.metrics.Observe(Stage::kConnect, SteadyNow() - start);
   Alarm deadline(state_.context, plan_.deadline - SteadyNow(),
-                 [this] { Abort(AttemptEnd::kTimedOut); });
-  std::unique_ptr<Alarm> silence;
-  if (plan_.first_byte_by < plan_.deadline) {
-    silence = std::make_unique<Alarm>(state_.context, plan_.first_byte_by - SteadyNow(),
-                                      [this] { Abort(AttemptEnd::kNoAnswer); });
+                 [this] { Abort(AttemptOutcome::kTimedOut); });
+  std::unique_ptr<Alarm> first_byte_alarm;
+  if (plan_.first_byte_deadline < plan_.deadline) {
+    first_byte_alarm =
+        std::make_unique<Alarm>(state_.context, plan_.first_byte_deadline - SteadyNow(),
+                                [this] { Abort(AttemptOutcome::kNoResponse); });
   }
   result.sent = true;
   bool sent = co_await SendRequest();
-  HeadEnd head = HeadEnd::kFailed;
+  HeadStatus head = HeadStatus::kFailed;
   if (sent) {
-    head = co_await ReadOwnHead(result);
+    head = co_await ReadMatchingHead(result);
   }
-  silence.reset();
-  if (head == HeadEnd::kFailed) {
-    result.end = FailureEnd(AttemptEnd::kNoAnswer);
+  first_byte_alarm.reset();
+  if (head == HeadStatus::kFailed) {
+    result.outcome = FailureOutcome(AttemptOutcome::kNoResponse);
     Finish(result);
     co_return result;
   }
-  state_.metrics.Observe(Stage::kFirstByte, SteadyNow() - began);
-  const async_http::HttpHead& answer = connection_->parser().get().base();
-  bool not_run = !FieldOf(answer, state_.names.not_run).empty();
-  result.wrong_runner = answer.result_int() == 421;
-  result.runner_leaves = !connection_->parser().keep_alive();
+  state_.metrics.Observe(Stage::kFirstByte, SteadyNow() - start);
+  const async_http::HttpHead& response = connection_->parser().get().base();
+  bool not_run = !FieldOf(response, state_.names.not_run).empty();
+  result.wrong_runner = response.result_int() == 421;
+  result.connection_closing = !connection_->parser().keep_alive();
   result.framing = FramingOf(connection_->parser());
-  bool streams = plan_.stream && IsEventStream(answer) && !not_run;
+  bool streams = plan_.stream && IsSuccess(response) && !not_run;
   if (streams) {
-    co_await PassStream(result, sink);
+    co_await ForwardStream(result, sink);
   } else {
-    co_await ReadWhole(result);
-    bool whole = result.end == AttemptEnd::kAnswered;
-    if (whole && (not_run || result.wrong_runner)) {
-      result.end = AttemptEnd::kNotRun;
+    co_await ReadBufferedResponse(result);
+    bool complete = result.outcome == AttemptOutcome::kCompleted;
+    if (complete && (not_run || result.wrong_runner)) {
+      result.outcome = AttemptOutcome::kNotRun;
     }
   }
   Finish(result);
@@ -107,16 +108,16 @@
 }
 
 Task<bool> Attempt::Connect(AttemptResult& result) {
-  if (auto kept = state_.pool.Take(plan_.runner.id, SteadyNow())) {
-    connection_ = std::move(kept);
+  if (auto idle = state_.pool.Take(plan_.runner.id, SteadyNow())) {
+    connection_ = std::move(idle);
     result.reused = true;
     co_return true;
   }
   connection_ = std::make_shared<Connection>(state_.context, plan_.runner.endpoint);
   state_.pool.NoteOpened(plan_.runner.id);
-  absl::Duration patience = std::min(state_.options.connect_timeout, plan_.deadline - SteadyNow());
+  absl::Duration timeout = std::min(state_.options.connect_timeout, plan_.deadline - SteadyNow());
   std::weak_ptr<Connection> weak = connection_;
-  Alarm alarm(state_.context, patience, [weak] {
+  Alarm alarm(state_.context, timeout, [weak] {
     if (auto connection = weak.lock()) {
       connection->Close();
     }
@@ -157,8 +158,8 @@
   co_return true;
 }
 
-Task<Attempt::HeadEnd> Attempt::ReadOwnHead(AttemptResult& result) {
-  for (int foreign = 0; foreign <= kForeignAnswers; ++foreign) {
+Task<Attempt::HeadStatus> Attempt::ReadMatchingHead(AttemptResult& result) {
+  for (int mismatched = 0; mismatched <= kMaxMismatchedResponses; ++mismatched) {
     ReadStep step = ReadStep::kProgress;
     while (step == ReadStep::kProgress && !connection_->parser().is_header_done()) {
       step = co_await connection_->ReadHead();
@@ -166,30 +167,30 @@
     if (step == ReadStep::kClosed || step == ReadStep::kMalformed) {
       result.detail = step == ReadStep::kClosed ? "connection closed without a response"
                                                 : "malformed HTTP response";
-      co_return HeadEnd::kFailed;
+      co_return HeadStatus::kFailed;
     }
     const async_http::HttpHead& head = connection_->parser().get().base();
     absl::string_view id = FieldOf(head, state_.names.request_id);
-    bool explains = !FieldOf(head, state_.names.not_run).empty() || head.result_int() == 421;
-    bool ours = id == plan_.request_id.value || (id.empty() && explains);
-    if (ours) {
-      co_return HeadEnd::kOurs;
+    bool not_processed = !FieldOf(head, state_.names.not_run).empty() || head.result_int() == 421;
+    bool matches = id == plan_.request_id.value || (id.empty() && not_processed);
+    if (matches) {
+      co_return HeadStatus::kMatched;
     }
     if (id.empty()) {
       result.detail = "response without a request id";
-      co_return HeadEnd::kFailed;
+      co_return HeadStatus::kFailed;
     }
     // A late response to an earlier request; the expected one may follow.
-    if (!co_await SkipForeignAnswer()) {
+    if (!co_await SkipMismatchedResponse()) {
       result.detail = "response to another request";
-      co_return HeadEnd::kFailed;
+      co_return HeadStatus::kFailed;
     }
   }
   result.detail = "too many responses to other requests";
-  co_return HeadEnd::kFailed;
+  co_return HeadStatus::kFailed;
 }
 
-Task<bool> Attempt::SkipForeignAnswer() {
+Task<bool> Attempt::SkipMismatchedResponse() {
   if (plan_.head_request) {
     co_return false;  // Whether it has a body depends on the method of the unknown request.
   }
@@ -204,41 +205,41 @@
   co_return true;
 }
 
-Task<void> Attempt::ReadWhole(AttemptResult& result) {
+Task<void> Attempt::ReadBufferedResponse(AttemptResult& result) {
   ReadStep step = ReadStep::kProgress;
   while (step == ReadStep::kProgress) {
     step = co_await connection_->ReadBody();
   }
   if (step != ReadStep::kWhole) {
     result.detail = "response truncated";
-    result.end = FailureEnd(AttemptEnd::kNoAnswer);
+    result.outcome = FailureOutcome(AttemptOutcome::kNoResponse);
     co_return;
   }
   auto& message = connection_->parser().get();
-  result.answer.head = message.base();
-  result.answer.body = std::move(message.body());
-  result.end = AttemptEnd::kAnswered;
+  result.response.head = message.base();
+  result.response.body = std::move(message.body());
+  result.outcome = AttemptOutcome::kCompleted;
 }
 
-Task<void> Attempt::PassStream(AttemptResult& result, StreamSink& sink) {
+Task<void> Attempt::ForwardStream(AttemptResult& result, StreamSink& sink) {
   result.streamed = true;
   sink.OnHead(connection_->parser().get().base());
   ReadStep step = connection_->parser().is_done() ? ReadStep::kWhole : ReadStep::kProgress;
   while (true) {
     std::string bytes = std::exchange(connection_->parser().get().body(), std::string());
-    StreamStep passed = StreamStep::kPassed;
+    StreamStatus status = StreamStatus::kForwarded;
     if (!bytes.empty()) {
-      passed = co_await sink.OnBytes(std::move(bytes));
+      status = co_await sink.OnBytes(std::move(bytes));
     }
-    if (passed == StreamStep::kClientGone) {
-      Abort(AttemptEnd::kClientGone);
-      result.end = AttemptEnd::kClientGone;
+    if (status == StreamStatus::kClientGone) {
+      Abort(AttemptOutcome::kClientGone);
+      result.outcome = AttemptOutcome::kClientGone;
       co_return;
     }
-    if (passed == StreamStep::kOutOfPlace) {
+    if (status == StreamStatus::kOutOfOrder) {
       result.detail = "the stream does not continue after the last delivered event";
-      Abort(AttemptEnd::kBrokeOff);
-      result.end = abort_end_;
+      Abort(AttemptOutcome::kTruncated);
+      result.outcome = abort_outcome_;
       co_return;
     }
     if (step != ReadStep::kProgress) {
@@ -248,10 +249,10 @@
   }
   if (const char* reason = WhyIncomplete(step, sink)) {
     result.detail = reason;
-    result.end = FailureEnd(AttemptEnd::kBrokeOff);
+    result.outcome = FailureOutcome(AttemptOutcome::kTruncated);
     co_return;
   }
-  result.end = AttemptEnd::kAnswered;
+  result.outcome = AttemptOutcome::kCompleted;
 }
 
 const char* Attempt::WhyIncomplete(ReadStep last, const StreamSink& sink) const {
@@ -265,7 +266,8 @@
   if (sending_done_) {
     *sending_done_ = nullptr;
   }
-  bool good = result.end == AttemptEnd::kAnswered || result.end == AttemptEnd::kNotRun;
+  bool good =
+      result.outcome == AttemptOutcome::kCompleted || result.outcome == AttemptOutcome::kNotRun;
   if (good && !sending_ && !aborted_ && connection_->MayBeReused()) {
     state_.pool.Return(plan_.runner.id, connection_, SteadyNow());
     return;
--- a/src/forwarding/attempt.h
+++ b/src/forwarding/attempt.h
@@ -23,20 +23,20 @@
   bool head_request = false;
   bool stream = false;  ///< A successful response is an event stream.
   absl::Time deadline;  ///< The attempt is aborted at this time.
-  absl::Time first_byte_by = absl::InfiniteFuture();
+  absl::Time first_byte_deadline = absl::InfiniteFuture();
 };
 
 /// A response that was read to its end before it is forwarded.
-struct WholeAnswer {
+struct BufferedResponse {
   async_http::HttpHead head;
   std::string body;
 };
 
 /// Result of forwarding a piece of a stream.
-enum class StreamStep {
-  kPassed,      ///< All complete events were sent to the client.
+enum class StreamStatus {
+  kForwarded,   ///< All complete events were sent to the client.
   kClientGone,  ///< The client has disconnected.
-  kOutOfPlace,  ///< The stream does not continue after the last delivered event.
+  kOutOfOrder,  ///< The stream does not continue after the last delivered event.
 };
 
 /// Receives the streamed response of one attempt.
@@ -46,7 +46,7 @@
   /// Called once, with the head of a successful streamed response.
   virtual void OnHead(const async_http::HttpHead& head) = 0;
   /// Called with each piece of the response body.
-  virtual async_http::Task<StreamStep> OnBytes(std::string bytes) = 0;
+  virtual async_http::Task<StreamStatus> OnBytes(std::string bytes) = 0;
   /// Checks the stream once the runner's response has ended.
   /// @param ended_by_close the response ended with the connection: no length, no last chunk.
   /// @return the reason, for the log, why the stream is incomplete; null when it is complete.
@@ -54,15 +54,15 @@
 };
 
 struct AttemptResult {
-  AttemptEnd end = AttemptEnd::kNotSent;
-  WholeAnswer answer;            ///< Empty if it was streamed.
-  bool streamed = false;         ///< The response went to the sink.
-  bool runner_leaves = false;    ///< The runner asked to close the connection.
-  bool wrong_runner = false;     ///< The address now belongs to another runner.
-  bool sent = false;             ///< At least part of the request was sent.
-  bool reused = false;           ///< The connection came from the pool.
-  const char* framing = "none";  ///< How the end of the response is delimited: see `FramingOf`.
-  std::string detail;            ///< For the log.
+  AttemptOutcome outcome = AttemptOutcome::kNotSent;
+  BufferedResponse response;        ///< Empty if it was streamed.
+  bool streamed = false;            ///< The response went to the sink.
+  bool connection_closing = false;  ///< The runner asked to close the connection.
+  bool wrong_runner = false;        ///< The address now belongs to another runner.
+  bool sent = false;                ///< At least part of the request was sent.
+  bool reused = false;              ///< The connection came from the pool.
+  const char* framing = "none";     ///< How the end of the response is delimited: see `FramingOf`.
+  std::string detail;               ///< For the log.
 };
 
 /// Sends one request to one runner. `Abort` cancels it, e.g. when the client disconnects.
@@ -72,27 +72,27 @@
 
   async_http::Task<AttemptResult> Run(StreamSink& sink);
   /// Closes the connection to the runner; `Run` then returns with `outcome`.
-  void Abort(AttemptEnd end);
+  void Abort(AttemptOutcome outcome);
 
  private:
-  enum class HeadEnd { kOurs, kFailed };
+  enum class HeadStatus { kMatched, kFailed };
 
   async_http::Task<bool> Connect(AttemptResult& result);
   async_http::Task<bool> SendRequest();
-  async_http::Task<HeadEnd> ReadOwnHead(AttemptResult& result);
-  async_http::Task<bool> SkipForeignAnswer();
-  async_http::Task<void> ReadWhole(AttemptResult& result);
-  async_http::Task<void> PassStream(AttemptResult& result, StreamSink& sink);
+  async_http::Task<HeadStatus> ReadMatchingHead(AttemptResult& result);
+  async_http::Task<bool> SkipMismatchedResponse();
+  async_http::Task<void> ReadBufferedResponse(AttemptResult& result);
+  async_http::Task<void> ForwardStream(AttemptResult& result, StreamSink& sink);
   /// @return the reason why the stream is incomplete, or null when it is complete.
   const char* WhyIncomplete(async_http::ReadStep last, const StreamSink& sink) const;
   void Finish(AttemptResult& result);
-  AttemptEnd FailureEnd(AttemptEnd otherwise) const;
+  AttemptOutcome FailureOutcome(AttemptOutcome fallback) const;
 
   GatewayState& state_;
   AttemptPlan plan_;
   std::shared_ptr<async_http::Connection> connection_;
   bool aborted_ = false;
-  AttemptEnd abort_end_ = AttemptEnd::kNoAnswer;
+  AttemptOutcome abort_outcome_ = AttemptOutcome::kNoResponse;
   bool sending_ = false;                 // The body is being sent while the response is read.
   std::shared_ptr<bool*> sending_done_;  // Lets the sender clear `sending_`; reset by `Finish`.
 };
--- a/src/forwarding/attempt_outcome.cc
+++ b/src/forwarding/attempt_outcome.cc
@@ -3,48 +3,48 @@
 namespace martenyard::forwarding {
 namespace {
 
-bool MayTryAgain(const RequestSituation& situation) {
-  return situation.attempts_left > 0 && situation.time_left > kLeastUsefulTime;
+bool CanRetry(const RetryState& retry_state) {
+  return retry_state.attempts_left > 0 && retry_state.time_left > kMinAttemptTime;
 }
 
-NextStep AfterNotRun(const RequestSituation& situation) {
-  if (situation.answer_started) {
-    return MayTryAgain(situation) && situation.can_resume ? NextStep::kResume : NextStep::kBreak;
+NextStep AfterNotRun(const RetryState& retry_state) {
+  if (retry_state.response_started) {
+    return CanRetry(retry_state) && retry_state.can_resume ? NextStep::kResume : NextStep::kAbort;
   }
-  if (MayTryAgain(situation)) {
-    return NextStep::kTryAnother;
+  if (CanRetry(retry_state)) {
+    return NextStep::kRetry;
   }
-  return situation.may_have_run ? NextStep::kFail : NextStep::kRefuse;
+  return retry_state.may_have_run ? NextStep::kFail : NextStep::kRefuse;
 }
 
-NextStep AfterNoAnswer(const RequestSituation& situation) {
-  if (situation.answer_started) {
-    return MayTryAgain(situation) && situation.can_resume ? NextStep::kResume : NextStep::kBreak;
+NextStep AfterNoResponse(const RetryState& retry_state) {
+  if (retry_state.response_started) {
+    return CanRetry(retry_state) && retry_state.can_resume ? NextStep::kResume : NextStep::kAbort;
   }
-  if (situation.repeatable && MayTryAgain(situation)) {
-    return NextStep::kTryAnother;
+  if (retry_state.repeatable && CanRetry(retry_state)) {
+    return NextStep::kRetry;
   }
   return NextStep::kFail;
 }
 
 }  // namespace
 
-NextStep DecideNextStep(AttemptEnd end, const RequestSituation& situation) {
-  switch (end) {
-    case AttemptEnd::kNotSent:
-    case AttemptEnd::kNotRun:
-      return AfterNotRun(situation);
-    case AttemptEnd::kAnswered:
+NextStep DecideNextStep(AttemptOutcome outcome, const RetryState& retry_state) {
+  switch (outcome) {
+    case AttemptOutcome::kNotSent:
+    case AttemptOutcome::kNotRun:
+      return AfterNotRun(retry_state);
+    case AttemptOutcome::kCompleted:
       // The client already has a head and events; a second response can't follow them.
-      return situation.answer_started && !situation.streamed ? AfterNoAnswer(situation)
-                                                             : NextStep::kPassOn;
-    case AttemptEnd::kNoAnswer:
-    case AttemptEnd::kBrokeOff:
-      return AfterNoAnswer(situation);
-    case AttemptEnd::kTimedOut:
-      return situation.answer_started ? NextStep::kBreak : NextStep::kTimeOut;
-    case AttemptEnd::kClientGone:
-      return NextStep::kNothing;
+      return retry_state.response_started && !retry_state.streamed ? AfterNoResponse(retry_state)
+                                                                   : NextStep::kForward;
+    case AttemptOutcome::kNoResponse:
+    case AttemptOutcome::kTruncated:
+      return AfterNoResponse(retry_state);
+    case AttemptOutcome::kTimedOut:
+      return retry_state.response_started ? NextStep::kAbort : NextStep::kTimeOut;
+    case AttemptOutcome::kClientGone:
+      return NextStep::kNone;
   }
   return NextStep::kFail;
 }
--- a/src/forwarding/attempt_outcome.h
+++ b/src/forwarding/attempt_outcome.h
@@ -9,41 +9,41 @@
 namespace martenyard::forwarding {
 
 /// How an attempt ended, as observed on the connection to the runner.
-enum class AttemptEnd {
-  kNotSent,   ///< No byte of the request was sent.
-  kNotRun,    ///< The runner reports that it did not and will not run the request.
-  kAnswered,  ///< The runner sent a complete response, with any status.
-  kNoAnswer,  ///< Sent without a complete response: closed, timeout or malformed.
-  kBrokeOff,  ///< A streamed response did not end properly.
-  kTimedOut,  ///< The request's deadline has passed.
+enum class AttemptOutcome {
+  kNotSent,     ///< No byte of the request was sent.
+  kNotRun,      ///< The runner reports that it did not and will not run the request.
+  kCompleted,   ///< The runner sent a complete response, with any status.
+  kNoResponse,  ///< Sent without a complete response: closed, timeout or malformed.
+  kTruncated,   ///< A streamed response did not end properly.
+  kTimedOut,    ///< The request's deadline has passed.
   kClientGone,
 };
 
 /// The facts about a request that determine its next step.
-struct RequestSituation {
-  bool repeatable = false;      ///< Running it twice is safe.
-  bool can_resume = false;      ///< A started stream can be continued by another runner.
-  bool answer_started = false;  ///< The client has received the head of a response.
-  bool may_have_run = false;    ///< In any attempt so far.
-  int attempts_left = 0;        ///< Number of runners it may still be sent to.
+struct RetryState {
+  bool repeatable = false;        ///< Running it twice is safe.
+  bool can_resume = false;        ///< A started stream can be continued by another runner.
+  bool response_started = false;  ///< The client has received the head of a response.
+  bool may_have_run = false;      ///< In any attempt so far.
+  int attempts_left = 0;          ///< Number of runners it may still be sent to.
   absl::Duration time_left;
   bool streamed = false;  ///< The attempt's response was streamed to the client.
 };
 
 enum class NextStep {
-  kPassOn,      ///< Forward the runner's response to the client.
-  kTryAnother,  ///< Send the request to another runner, from the start.
-  kResume,      ///< Continue the stream on another runner, after the last event.
-  kRefuse,      ///< 503: the request has not run and will not; retry later.
-  kFail,        ///< 502: the request may have run.
-  kTimeOut,     ///< 504: the request may have run.
-  kBreak,       ///< Close the client's connection so that the response is not taken as complete.
-  kNothing,     ///< The client has disconnected.
+  kForward,  ///< Forward the runner's response to the client.
+  kRetry,    ///< Send the request to another runner, from the start.
+  kResume,   ///< Continue the stream on another runner, after the last event.
+  kRefuse,   ///< 503: the request has not run and will not; retry later.
+  kFail,     ///< 502: the request may have run.
+  kTimeOut,  ///< 504: the request may have run.
+  kAbort,    ///< Close the client's connection so that the response is not taken as complete.
+  kNone,     ///< The client has disconnected.
 };
 
 /// No further attempt is made with less time left than this.
-inline constexpr absl::Duration kLeastUsefulTime = absl::Milliseconds(15);
+inline constexpr absl::Duration kMinAttemptTime = absl::Milliseconds(15);
 
-NextStep DecideNextStep(AttemptEnd end, const RequestSituation& situation);
+NextStep DecideNextStep(AttemptOutcome outcome, const RetryState& retry_state);
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/request_run.cc
+++ b/src/forwarding/request_run.cc
@@ -21,21 +21,21 @@
 
 absl::string_view View(boost::beast::string_view text) { return {text.data(), text.size()}; }
 
-const char* NameOf(AttemptEnd end) {
-  switch (end) {
-    case AttemptEnd::kNotSent:
+const char* NameOf(AttemptOutcome outcome) {
+  switch (outcome) {
+    case AttemptOutcome::kNotSent:
       return "not_sent";
-    case AttemptEnd::kNotRun:
+    case AttemptOutcome::kNotRun:
       return "not_run";
-    case AttemptEnd::kAnswered:
+    case AttemptOutcome::kCompleted:
       return "answered";
-    case AttemptEnd::kNoAnswer:
+    case AttemptOutcome::kNoResponse:
       return "no_answer";
-    case AttemptEnd::kBrokeOff:
+    case AttemptOutcome::kTruncated:
       return "broke_off";
-    case AttemptEnd::kTimedOut:
+    case AttemptOutcome::kTimedOut:
       return "timed_out";
-    case AttemptEnd::kClientGone:
+    case AttemptOutcome::kClientGone:
       return "client_gone";
   }
   return "unknown";
@@ -58,7 +58,7 @@
   }
   exchange_->OnClientGone([this] {
     if (attempt_ != nullptr) {
-      attempt_->Abort(AttemptEnd::kClientGone);
+      attempt_->Abort(AttemptOutcome::kClientGone);
     }
   });
   co_await TryRunners();
@@ -115,21 +115,21 @@
   if (another_may) {
     absl::Duration silence = std::max(route_->target_latency * state_->options.silence_targets,
                                       state_->options.least_silence);
-    plan.first_byte_by = SteadyNow() + silence;
+    plan.first_byte_deadline = SteadyNow() + silence;
   }
   return plan;
 }
 
-RequestSituation RequestRun::Situation() const {
-  RequestSituation situation;
-  situation.repeatable = route_->Repeatable();
-  situation.can_resume =
+RetryState RequestRun::CurrentRetryState() const {
+  RetryState retry_state;
+  retry_state.repeatable = route_->Repeatable();
+  retry_state.can_resume =
       route_->kind == RouteKind::kStream && route_->resumable && delivered_.can_be_resumed();
-  situation.answer_started = exchange_->stream_started();
-  situation.may_have_run = may_have_run_;
-  situation.attempts_left = route_->max_attempts - sent_to_;
-  situation.time_left = TimeLeft();
-  return situation;
+  retry_state.response_started = exchange_->stream_started();
+  retry_state.may_have_run = may_have_run_;
+  retry_state.attempts_left = route_->max_attempts - sent_to_;
+  retry_state.time_left = TimeLeft();
+  return retry_state;
 }
 
 Task<AttemptResult> RequestRun::RunOnce(const discovery::Runner& runner, stream_forwarder& run) {
@@ -140,7 +140,7 @@
   Attempt attempt(*state_, MakePlan(runner));
   attempt_ = &attempt;
   if (exchange_->client_gone()) {
-    attempt.Abort(AttemptEnd::kClientGone);
+    attempt.Abort(AttemptOutcome::kClientGone);
   }
   AttemptResult result = co_await attempt.Run(run);
   attempt_ = nullptr;
@@ -158,29 +158,29 @@
 void RequestRun::NoteResult(const discovery::Runner& runner, const AttemptResult& result) {
   using discovery::RunnerSignal;
   absl::Time now = SteadyNow();
-  bool ran = result.sent && result.end != AttemptEnd::kNotRun;
+  bool ran = result.sent && result.outcome != AttemptOutcome::kNotRun;
   may_have_run_ = may_have_run_ || ran;
   sent_to_ += result.sent && !result.wrong_runner ? 1 : 0;
   tried_.insert(runner.id.value);
   last_detail_ = result.detail;
   auto note = [&](RunnerSignal signal) { state_->runners.Note(now, runner.id, signal); };
-  switch (result.end) {
-    case AttemptEnd::kAnswered:
-      note(result.streamed || result.answer.head.result_int() < 500 ? RunnerSignal::kServed
-                                                                    : RunnerSignal::kFailed);
+  switch (result.outcome) {
+    case AttemptOutcome::kCompleted:
+      note(result.streamed || result.response.head.result_int() < 500 ? RunnerSignal::kServed
+                                                                      : RunnerSignal::kFailed);
       break;
-    case AttemptEnd::kNotRun:
+    case AttemptOutcome::kNotRun:
       note(result.wrong_runner ? RunnerSignal::kLeaves : RunnerSignal::kTurnedAway);
       break;
-    case AttemptEnd::kNotSent:
+    case AttemptOutcome::kNotSent:
       note(RunnerSignal::kUnreachable);
       break;
-    case AttemptEnd::kNoAnswer:
-    case AttemptEnd::kBrokeOff:
-    case AttemptEnd::kTimedOut:
+    case AttemptOutcome::kNoResponse:
+    case AttemptOutcome::kTruncated:
+    case AttemptOutcome::kTimedOut:
       note(RunnerSignal::kFailed);
       break;
-    case AttemptEnd::kClientGone:
+    case AttemptOutcome::kClientGone:
       break;
   }
   NoteOutcome(runner, result);
@@ -188,13 +188,13 @@
 
 void RequestRun::LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
                             const stream_forwarder& run, absl::Time began) {
-  state_->metrics.CountAttempt(NameOf(result.end));
+  state_->metrics.CountAttempt(NameOf(result.outcome));
   state_->log.Write(
       Line("attempt_ended")
           .Text("request", info_.id.value)
           .Text("runner", runner.id.value)
-          .Text("end", NameOf(result.end))
-          .Number("status", result.answer.head.result_int())
+          .Text("end", NameOf(result.outcome))
+          .Number("status", result.response.head.result_int())
           .Number("events", static_cast<std::int64_t>(delivered_.count()))
           .Text("first_event", run.first_event_id())
           .Number("unfinished_bytes", static_cast<std::int64_t>(run.unfinished_bytes()))
@@ -207,15 +207,15 @@
 void RequestRun::NoteOutcome(const discovery::Runner& runner, const AttemptResult& result) {
   bool streams = route_->kind == RouteKind::kStream;
   discovery::request_outcomes outcome;
-  switch (result.end) {
-    case AttemptEnd::kAnswered: {
+  switch (result.outcome) {
+    case AttemptOutcome::kCompleted: {
       // A 5xx of a tool is its result; a 5xx of an engine means that the turn is lost.
-      bool failed = streams && !result.streamed && result.answer.head.result_int() >= 500;
+      bool failed = streams && !result.streamed && result.response.head.result_int() >= 500;
       (failed ? outcome.m_lost : outcome.m_served) = 1;
       break;
     }
-    case AttemptEnd::kNoAnswer:
-    case AttemptEnd::kBrokeOff:
+    case AttemptOutcome::kNoResponse:
+    case AttemptOutcome::kTruncated:
       outcome.m_lost = 1;
       break;
     default:
@@ -235,33 +235,33 @@
       co_return;
     }
     std::optional<discovery::Runner> runner;
-    if (TimeLeft() > kLeastUsefulTime) {
+    if (TimeLeft() > kMinAttemptTime) {
       runner = Choose();
     }
-    AttemptEnd end = AttemptEnd::kNotSent;
+    AttemptOutcome outcome = AttemptOutcome::kNotSent;
     AttemptResult result;
     // One forwarder per attempt: the head and partial event of a failed attempt are discarded.
     stream_forwarder run(*exchange_, delivered_, [this] { NotePlacement(); });
-    RequestSituation situation = Situation();
+    RetryState retry_state = CurrentRetryState();
     if (runner) {
       result = co_await RunOnce(*runner, run);
-      end = result.end;
-      situation = Situation();
-      situation.streamed = result.streamed;
+      outcome = result.outcome;
+      retry_state = CurrentRetryState();
+      retry_state.streamed = result.streamed;
     } else {
-      situation.attempts_left = 0;  // No runner is available.
+      retry_state.attempts_left = 0;  // No runner is available.
     }
     // A 400 of the runner is forwarded even if the request did not run.
-    bool client_fault = end == AttemptEnd::kNotRun && !situation.answer_started &&
-                        result.answer.head.result_int() == 400;
-    switch (client_fault ? NextStep::kPassOn : DecideNextStep(end, situation)) {
-      case NextStep::kPassOn:
+    bool client_fault = outcome == AttemptOutcome::kNotRun && !retry_state.response_started &&
+                        result.response.head.result_int() == 400;
+    switch (client_fault ? NextStep::kForward : DecideNextStep(outcome, retry_state)) {
+      case NextStep::kForward:
         if (head_runner_.empty()) {
           head_runner_ = runner->id.value;
         }
         co_await PassOn(result, run);
         co_return;
-      case NextStep::kTryAnother:
+      case NextStep::kRetry:
         continue;
       case NextStep::kResume:
         state_->log.Write(Line("stream_resumed")
@@ -277,11 +277,11 @@
       case NextStep::kTimeOut:
         co_await AnswerOwn(504, "no answer in time", std::nullopt);
         co_return;
-      case NextStep::kBreak:
+      case NextStep::kAbort:
         exchange_->Break();
         Close("broken");
         co_return;
-      case NextStep::kNothing:
+      case NextStep::kNone:
         Close("client_gone");
         co_return;
     }
@@ -302,11 +302,11 @@
     co_return;
   }
   HttpHead passed;
-  passed.result(result.answer.head.result());
-  passed.reason(result.answer.head.reason());
-  copy_end_to_end(result.answer.head, passed);
+  passed.result(result.response.head.result());
+  passed.reason(result.response.head.reason());
+  copy_end_to_end(result.response.head, passed);
   SettleLater(0);
-  bool sent = co_await exchange_->Send(std::move(passed), std::move(result.answer.body));
+  bool sent = co_await exchange_->Send(std::move(passed), std::move(result.response.body));
   Close(sent ? "answered" : "client_gone");
 }
 
--- a/src/forwarding/request_run.h
+++ b/src/forwarding/request_run.h
@@ -84,7 +84,7 @@
   void NoteOutcome(const discovery::Runner& runner, const AttemptResult& result);
   /// Records that the runner has cached the prompt.
   void NotePlacement();
-  RequestSituation Situation() const;
+  RetryState CurrentRetryState() const;
   async_http::Task<void> PassOn(AttemptResult& result, stream_forwarder& run);
   async_http::Task<void> FinishStream(stream_forwarder& run);
   std::uint32_t RetentionMilliseconds() const;
--- a/src/forwarding/streams/stream_forwarder.cc
+++ b/src/forwarding/streams/stream_forwarder.cc
@@ -64,24 +64,24 @@
     return absl::StrContains(name, "text/event-stream");
 }
 
-Task<StreamStep> stream_forwarder::OnBytes(std::string bytes)
+Task<StreamStatus> stream_forwarder::OnBytes(std::string bytes)
 {
     std::string whole;
     for (const sse_event& event : m_parser.feed(bytes))
     {
         if (!accept(event))
         {
-            co_return StreamStep::kOutOfPlace;
+            co_return StreamStatus::kOutOfOrder;
         }
         absl::StrAppend(&whole, event.m_text);
     }
     if (whole.empty())
     {
-        co_return StreamStep::kPassed;
+        co_return StreamStatus::kForwarded;
     }
     bool sent = co_await start_stream();
     sent = sent && co_await m_exchange.Write(whole);
-    co_return sent ? StreamStep::kPassed : StreamStep::kClientGone;
+    co_return sent ? StreamStatus::kForwarded : StreamStatus::kClientGone;
 }
 
 const char* stream_forwarder::WhyIncomplete(bool ended_by_close) const
--- a/src/forwarding/streams/stream_forwarder.h
+++ b/src/forwarding/streams/stream_forwarder.h
@@ -27,7 +27,7 @@
                      std::function<void()> on_head);
 
     void OnHead(const async_http::HttpHead& head) override;
-    async_http::Task<StreamStep> OnBytes(std::string bytes) override;
+    async_http::Task<StreamStatus> OnBytes(std::string bytes) override;
     const char* WhyIncomplete(bool ended_by_close) const override;
 
     /// @brief sends the bytes after the last blank line of a complete body; the caller ends the response
--- a/tests/forwarding/forwarding_units_test.cc
+++ b/tests/forwarding/forwarding_units_test.cc
@@ -171,10 +171,10 @@
 
 struct OutcomeCase {
   const char* name;
-  AttemptEnd end;
+  AttemptOutcome end;
   bool repeatable;
   bool can_resume;
-  bool answer_started;
+  bool response_started;
   bool may_have_run;
   int attempts_left;
   int time_left_ms;
@@ -185,36 +185,36 @@
 
 TEST_P(AttemptOutcomeTest, DecidesTheNextStep) {
   const OutcomeCase& test = GetParam();
-  RequestSituation situation{test.repeatable,     test.can_resume,
-                             test.answer_started, test.may_have_run,
-                             test.attempts_left,  absl::Milliseconds(test.time_left_ms)};
-  EXPECT_EQ(DecideNextStep(test.end, situation), test.expected);
+  RetryState retry_state{test.repeatable,       test.can_resume,
+                         test.response_started, test.may_have_run,
+                         test.attempts_left,    absl::Milliseconds(test.time_left_ms)};
+  EXPECT_EQ(DecideNextStep(test.end, retry_state), test.expected);
 }
 
 constexpr OutcomeCase kOutcomes[] = {
     // clang-format off
     // name                       end                       rep.   resume started ran   left ms   then
-    {"NotSentIsRetried",      AttemptEnd::kNotSent,     false, false, false, false, 1, 900, NextStep::kTryAnother},
-    {"NotSentWithoutAttemptsIsRefused",      AttemptEnd::kNotSent,     false, false, false, false, 0, 900, NextStep::kRefuse},
-    {"NotRunIsRetried",       AttemptEnd::kNotRun,      false, false, false, false, 1, 900, NextStep::kTryAnother},
-    {"NotRunTooLateIsRefused",    AttemptEnd::kNotRun,      true,  false, false, false, 1, 5,   NextStep::kRefuse},
-    {"NotRunAfterEarlierRunFails",AttemptEnd::kNotRun,      true,  false, false, true,  0, 900, NextStep::kFail},
-    {"NotSentAfterEarlierRunFails",AttemptEnd::kNotSent,    true,  false, false, true,  0, 900, NextStep::kFail},
-    {"LostNonRepeatableFails",    AttemptEnd::kNoAnswer,    false, false, false, true,  3, 900, NextStep::kFail},
-    {"LostRepeatableIsRetried",           AttemptEnd::kNoAnswer,    true,  false, false, true,  1, 900, NextStep::kTryAnother},
-    {"LostRepeatableWithoutAttemptsFails",   AttemptEnd::kNoAnswer,    true,  false, false, true,  0, 900, NextStep::kFail},
-    {"LostRepeatableTooLateFails",           AttemptEnd::kNoAnswer,    true,  false, false, true,  1, 5,   NextStep::kFail},
-    {"TruncatedStreamIsAborted",        AttemptEnd::kBrokeOff,    false, false, true,  true,  1, 900, NextStep::kBreak},
-    {"TruncatedStreamIsResumed",       AttemptEnd::kBrokeOff,    true,  true,  true,  true,  1, 900, NextStep::kResume},
-    {"TruncatedStreamWithoutAttemptsIsAborted",    AttemptEnd::kBrokeOff,    true,  true,  true,  true,  0, 900, NextStep::kBreak},
-    {"TruncatedBeforeFirstEventIsRetried",    AttemptEnd::kBrokeOff,    true,  false, false, true,  1, 900, NextStep::kTryAnother},
-    {"TruncatedNonRepeatableFails",   AttemptEnd::kBrokeOff,    false, false, false, true,  1, 900, NextStep::kFail},
-    {"RejectedResumptionIsResumedElsewhere",   AttemptEnd::kNotRun,      true,  true,  true,  true,  1, 900, NextStep::kResume},
-    {"RejectedResumptionWithoutAttemptsIsAborted",    AttemptEnd::kNotRun,      true,  true,  true,  true,  0, 900, NextStep::kBreak},
-    {"DeadlinePassedTimesOut",             AttemptEnd::kTimedOut,    true,  false, false, true,  1, 0,   NextStep::kTimeOut},
-    {"DeadlinePassedMidStreamIsAborted",   AttemptEnd::kTimedOut,    true,  true,  true,  true,  1, 0,   NextStep::kBreak},
-    {"CompletedIsForwarded",         AttemptEnd::kAnswered,    false, false, false, true,  0, 0,   NextStep::kPassOn},
-    {"ClientGoneDoesNothing",            AttemptEnd::kClientGone,  true,  true,  true,  true,  1, 900, NextStep::kNothing},
+    {"NotSentIsRetried",      AttemptOutcome::kNotSent,     false, false, false, false, 1, 900, NextStep::kRetry},
+    {"NotSentWithoutAttemptsIsRefused",      AttemptOutcome::kNotSent,     false, false, false, false, 0, 900, NextStep::kRefuse},
+    {"NotRunIsRetried",       AttemptOutcome::kNotRun,      false, false, false, false, 1, 900, NextStep::kRetry},
+    {"NotRunTooLateIsRefused",    AttemptOutcome::kNotRun,      true,  false, false, false, 1, 5,   NextStep::kRefuse},
+    {"NotRunAfterEarlierRunFails",AttemptOutcome::kNotRun,      true,  false, false, true,  0, 900, NextStep::kFail},
+    {"NotSentAfterEarlierRunFails",AttemptOutcome::kNotSent,    true,  false, false, true,  0, 900, NextStep::kFail},
+    {"LostNonRepeatableFails",    AttemptOutcome::kNoResponse,    false, false, false, true,  3, 900, NextStep::kFail},
+    {"LostRepeatableIsRetried",           AttemptOutcome::kNoResponse,    true,  false, false, true,  1, 900, NextStep::kRetry},
+    {"LostRepeatableWithoutAttemptsFails",   AttemptOutcome::kNoResponse,    true,  false, false, true,  0, 900, NextStep::kFail},
+    {"LostRepeatableTooLateFails",           AttemptOutcome::kNoResponse,    true,  false, false, true,  1, 5,   NextStep::kFail},
+    {"TruncatedStreamIsAborted",        AttemptOutcome::kTruncated,    false, false, true,  true,  1, 900, NextStep::kAbort},
+    {"TruncatedStreamIsResumed",       AttemptOutcome::kTruncated,    true,  true,  true,  true,  1, 900, NextStep::kResume},
+    {"TruncatedStreamWithoutAttemptsIsAborted",    AttemptOutcome::kTruncated,    true,  true,  true,  true,  0, 900, NextStep::kAbort},
+    {"TruncatedBeforeFirstEventIsRetried",    AttemptOutcome::kTruncated,    true,  false, false, true,  1, 900, NextStep::kRetry},
+    {"TruncatedNonRepeatableFails",   AttemptOutcome::kTruncated,    false, false, false, true,  1, 900, NextStep::kFail},
+    {"RejectedResumptionIsResumedElsewhere",   AttemptOutcome::kNotRun,      true,  true,  true,  true,  1, 900, NextStep::kResume},
+    {"RejectedResumptionWithoutAttemptsIsAborted",    AttemptOutcome::kNotRun,      true,  true,  true,  true,  0, 900, NextStep::kAbort},
+    {"DeadlinePassedTimesOut",             AttemptOutcome::kTimedOut,    true,  false, false, true,  1, 0,   NextStep::kTimeOut},
+    {"DeadlinePassedMidStreamIsAborted",   AttemptOutcome::kTimedOut,    true,  true,  true,  true,  1, 0,   NextStep::kAbort},
+    {"CompletedIsForwarded",         AttemptOutcome::kCompleted,    false, false, false, true,  0, 0,   NextStep::kForward},
+    {"ClientGoneDoesNothing",            AttemptOutcome::kClientGone,  true,  true,  true,  true,  1, 900, NextStep::kNone},
     // clang-format on
 };
 
@@ -222,17 +222,17 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 TEST(AttemptOutcomeOfStreamsTest, BufferedResponseAfterStreamStartIsNotForwarded) {
-  RequestSituation situation;
-  situation.answer_started = true;
-  situation.may_have_run = true;
-  situation.time_left = absl::Milliseconds(900);
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kBreak);
-  situation.attempts_left = 1;
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kBreak);
-  situation.can_resume = true;
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kResume);
-  situation.streamed = true;
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kPassOn);
+  RetryState retry_state;
+  retry_state.response_started = true;
+  retry_state.may_have_run = true;
+  retry_state.time_left = absl::Milliseconds(900);
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kAbort);
+  retry_state.attempts_left = 1;
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kAbort);
+  retry_state.can_resume = true;
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kResume);
+  retry_state.streamed = true;
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kForward);
 }
 
 TEST(TurnCacheTest, EvictsLeastRecentlyUsedBeyondCapacity) {
