--- a/src/forwarding/forwarder.cc
+++ b/src/forwarding/forwarder.cc
@@ -2,14 +2,14 @@
 
 #include <utility>
 
-#include "forwarding/request_run.h"
+#include "forwarding/request_handler.h"
 
 namespace martenyard::forwarding {
 
 async_http::Task<void> Forward(std::shared_ptr<GatewayState> state,
                                std::shared_ptr<async_http::Exchange> exchange) {
-  RequestRun run(std::move(state), std::move(exchange));
-  co_await run.Run();
+  RequestHandler handler(std::move(state), std::move(exchange));
+  co_await handler.Run();
 }
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -7,7 +7,7 @@
 #include "base/clock.h"
 #include "base/hash.h"
 #include "forwarding/headers/end_to_end.h"
-#include "forwarding/request_run.h"
+#include "forwarding/request_handler.h"
 
 namespace martenyard::forwarding {
 
@@ -30,30 +30,30 @@
 
 }  // namespace
 
-absl::Duration RequestRun::TimeLeft() const { return deadline_ - SteadyNow(); }
+absl::Duration RequestHandler::TimeLeft() const { return deadline_ - SteadyNow(); }
 
-bool RequestRun::Knows(Knowledge what) const {
-  switch (what) {
-    case Knowledge::kRoutes:
+bool RequestHandler::IsAvailable(Prerequisite prerequisite) const {
+  switch (prerequisite) {
+    case Prerequisite::kRoutes:
       return state_->routes != nullptr;
-    case Knowledge::kLedgerGroups:
+    case Prerequisite::kLedgerGroups:
       return state_->ledger->groups() > 0;
-    case Knowledge::kLease:
+    case Prerequisite::kLease:
       return state_->lease.holds(std::chrono::steady_clock::now());
   }
   return false;
 }
 
-Task<void> RequestRun::WaitFor(Knowledge what) {
+Task<void> RequestHandler::WaitFor(Prerequisite prerequisite) {
   absl::Duration allowed = info_.deadline.value_or(absl::Seconds(1)) / 4;
   absl::Time end = exchange_->received_at() + std::min(state_->options.start_patience, allowed);
-  while (!Knows(what) && SteadyNow() < end) {
+  while (!IsAvailable(prerequisite) && SteadyNow() < end) {
     co_await state_->informed.Wait(end - SteadyNow());
   }
 }
 
-Task<bool> RequestRun::FindRoute() {
-  co_await WaitFor(Knowledge::kRoutes);
+Task<bool> RequestHandler::FindRoute() {
+  co_await WaitFor(Prerequisite::kRoutes);
   routes_ = state_->routes;
   if (!routes_) {
     deadline_ = exchange_->received_at() + info_.deadline.value_or(absl::Seconds(1));
@@ -65,7 +65,7 @@
   if (route_ == nullptr) {
     deadline_ = exchange_->received_at() + info_.deadline.value_or(absl::Seconds(1));
     if (state_->store_reachable) {
-      co_await AnswerOwn(404, "no such route", std::nullopt);
+      co_await SendError(404, "no such route", std::nullopt);
     } else {
       co_await Refuse("no such route known, and the configuration may be old");
     }
@@ -82,17 +82,17 @@
   co_return true;
 }
 
-Task<bool> RequestRun::CheckKey() {
+Task<bool> RequestHandler::CheckKey() {
   const auto& tenants = routes_->configuration().tenants;
   if (!tenants.empty() && !state_->lease.confirmed()) {
-    co_await WaitFor(Knowledge::kLease);
+    co_await WaitFor(Prerequisite::kLease);
   }
   auto keys = values_of(exchange_->request(), state_->names.api_key);
   tenancy::key_check check = tenants.check(keys, route_->is_public, state_->key_hasher);
   if (check.m_verdict != tenancy::key_verdict::allowed) {
     bool missing = check.m_verdict == tenancy::key_verdict::missing;
-    if (Knows(Knowledge::kLease)) {
-      co_await AnswerOwn(401, missing ? "one API key is needed" : "unknown API key", std::nullopt);
+    if (IsAvailable(Prerequisite::kLease)) {
+      co_await SendError(401, missing ? "one API key is needed" : "unknown API key", std::nullopt);
     } else {
       co_await RefuseWithoutLease("the configuration may be too old to know the API key");
     }
@@ -100,29 +100,29 @@
   }
   tenant_ = check.m_tenant;
   ScopeIds();
-  if (tenant_ != nullptr && !Knows(Knowledge::kLease)) {
+  if (tenant_ != nullptr && !IsAvailable(Prerequisite::kLease)) {
     co_await RefuseWithoutLease("the configuration may be too old: the API key may be revoked");
     co_return false;
   }
   co_return true;
 }
 
-Task<bool> RequestRun::TakeQuota() {
+Task<bool> RequestHandler::CheckQuota() {
   if (tenant_ == nullptr || !tenant_->m_limit.limited()) {
     co_return true;
   }
-  co_await WaitFor(Knowledge::kLedgerGroups);
-  if (!Knows(Knowledge::kLedgerGroups)) {
+  co_await WaitFor(Prerequisite::kLedgerGroups);
+  if (!IsAvailable(Prerequisite::kLedgerGroups)) {
     co_await Refuse("who counts the tenant's requests is not known yet");
     co_return false;
   }
-  absl::Time began = SteadyNow();
+  absl::Time start = SteadyNow();
   absl::Time deadline =
-      std::min(began + state_->options.quota_patience, deadline_ - state_->options.answer_margin);
+      std::min(start + state_->options.quota_patience, deadline_ - state_->options.answer_margin);
   std::uint64_t program = program_.value.empty() ? 0 : StableHash(program_.value);
   std::uint64_t version = routes_->configuration().version;
   quota_decision decision = co_await state_->quotas->admit(*tenant_, version, program, deadline);
-  state_->metrics.Observe(Stage::kQuota, SteadyNow() - began);
+  state_->metrics.Observe(Stage::kQuota, SteadyNow() - start);
   if (decision.m_verdict == quota_verdict::granted) {
     if (decision.m_wait.count() > 0) {
       co_await async_http::Sleep(state_->context, absl::FromChrono(decision.m_wait));
@@ -137,23 +137,23 @@
                         .Real("burst", tenant_->m_limit.m_burst)
                         .Number("configuration", static_cast<std::int64_t>(version))
                         .Number("retry_after_ms", decision.m_retry_after.count())
-                        .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - began)));
+                        .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - start)));
   if (decision.m_verdict == quota_verdict::unknown) {
     co_await Refuse("the tenant's requests could not be counted");
     co_return false;
   }
   // Jitter of up to 25 %, so that clients refused together don't retry together.
-  absl::Duration pause =
+  absl::Duration retry_delay =
       absl::FromChrono(decision.m_retry_after) * (1 + state_->random.Uniform() / 4);
-  co_await AnswerOwn(429, "the tenant's limit is reached", pause);
+  co_await SendError(429, "the tenant's limit is reached", retry_delay);
   co_return false;
 }
 
-bool RequestRun::KeyStillHolds() const {
+bool RequestHandler::KeyStillValid() const {
   if (tenant_ == nullptr) {
     return true;
   }
-  if (!Knows(Knowledge::kLease)) {
+  if (!IsAvailable(Prerequisite::kLease)) {
     return false;
   }
   if (state_->routes == routes_) {
@@ -165,24 +165,25 @@
   return check.m_tenant != nullptr && check.m_tenant->m_name == tenant_->m_name;
 }
 
-Task<void> RequestRun::RefuseWithoutLease(absl::string_view reason) {
+Task<void> RequestHandler::RefuseWithoutLease(absl::string_view reason) {
   // Jitter of +-25 %, so that clients refused together don't retry together.
-  absl::Duration pause = state_->options.lease_pause * (0.75 + 0.5 * state_->random.Uniform());
-  co_await AnswerOwn(503, reason, pause);
+  absl::Duration retry_delay =
+      state_->options.lease_pause * (0.75 + 0.5 * state_->random.Uniform());
+  co_await SendError(503, reason, retry_delay);
 }
 
-Task<void> RequestRun::RefuseKey() {
+Task<void> RequestHandler::RejectRevokedKey() {
   if (exchange_->stream_started()) {
     exchange_->Break();
-    Close("broken");
+    EndRequest("broken");
   } else if (may_have_run_) {
-    co_await AnswerOwn(502, "the API key lost its force", std::nullopt);
+    co_await SendError(502, "the API key lost its force", std::nullopt);
   } else {
     co_await RefuseWithoutLease("the API key may be revoked by now");
   }
 }
 
-void RequestRun::ScopeIds() {
+void RequestHandler::ScopeIds() {
   absl::string_view tenant = tenant_ == nullptr ? absl::string_view() : tenant_->m_name;
   turn_ = turn_ledger::TurnId(tenancy::scoped_id(tenant, info_.id.value));
   program_ = ProgramId(tenancy::scoped_id(tenant, info_.program.value));
@@ -191,18 +192,18 @@
   }
 }
 
-Task<bool> RequestRun::AdmitTurn() {
-  bool keeps = route_->keeps_turns;
-  if (!info_.token_budget && !keeps) {
+Task<bool> RequestHandler::AdmitTurn() {
+  bool stores_turn = route_->keeps_turns;
+  if (!info_.token_budget && !stores_turn) {
     co_return true;
   }
-  if (keeps && !info_.last_event_id.empty()) {
+  if (stores_turn && !info_.last_event_id.empty()) {
     // The events that the client already has are unknown here and can't be stored.
-    co_await AnswerOwn(503, "a turn that is kept is answered from its start only", std::nullopt);
+    co_await SendError(503, "a turn that is kept is answered from its start only", std::nullopt);
     co_return false;
   }
-  co_await WaitFor(Knowledge::kLedgerGroups);
-  if (!Knows(Knowledge::kLedgerGroups)) {
+  co_await WaitFor(Prerequisite::kLedgerGroups);
+  if (!IsAvailable(Prerequisite::kLedgerGroups)) {
     co_await Refuse("the turn ledger is not known yet");
     co_return false;
   }
@@ -217,7 +218,7 @@
   reserve.budget = info_.token_budget;
   reserve.retention_ms = RetentionMilliseconds();
   std::optional<history_fetch> fetch;
-  if (keeps && previous_turn_) {
+  if (stores_turn && previous_turn_) {
     reserve.previous = turn_ledger::TurnId(previous_turn_->value);
     reserve.has_previous = true;
     bool readable = state_->options.reads_replicas && !state_->relaying;
@@ -227,21 +228,22 @@
       fetch.emplace(state_, program_, *previous_turn_);
     }
   }
-  absl::Time began = SteadyNow();
-  absl::Time patience =
-      std::min(deadline_ - state_->options.answer_margin, began + state_->options.ledger_patience);
+  absl::Time start = SteadyNow();
+  absl::Time ledger_deadline =
+      std::min(deadline_ - state_->options.answer_margin, start + state_->options.ledger_patience);
   engine_load load = EngineLoad();
   bool admits = admits_program(load, state_->options.admission);
   reserved_ = true;
-  turn_ledger::CallResult result = co_await Reserve(
-      reserve, patience, admits ? turn_ledger::Programs::kAll : turn_ledger::Programs::kKnownOnly);
-  state_->metrics.Observe(Stage::kLedger, SteadyNow() - began);
+  turn_ledger::CallResult result =
+      co_await Reserve(reserve, ledger_deadline,
+                       admits ? turn_ledger::Programs::kAll : turn_ledger::Programs::kKnownOnly);
+  state_->metrics.Observe(Stage::kLedger, SteadyNow() - start);
   Line line("turn_admission");
   line.Text("request", info_.id.value).Text("program", info_.program.value);
-  line.Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - began));
+  line.Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - start));
   line.Number("active", load.m_active).Number("slots", load.m_slots);
   line.Number("most", static_cast<std::int64_t>(reserve.tokens));
-  if (!co_await TakeVerdict(result, line)) {
+  if (!co_await HandleVerdict(result, line)) {
     co_return false;
   }
   const turn_ledger::TurnPlace& place = result->previous_place;
@@ -249,31 +251,31 @@
     state_->prefixes.NoteBeginning(SteadyNow(), info_.prompt, place.tokens, place.runner);
     line.Number("previous_runner", place.runner);
   }
-  if (foreign_history_ != nullptr) {
+  if (other_group_history_ != nullptr) {
     line.Text("history", name_of(history_source::other_group));
-    PutHistoryFirst(foreign_history_);
+    PrependHistory(other_group_history_);
   } else if (reserve.previous && !reserve.has_previous) {
-    TakeRelayedHistory(std::move(result->history), line);
-  } else if (fetch && !co_await TakeHistory(*fetch, reserve, patience, line)) {
+    UseLeaderHistory(std::move(result->history), line);
+  } else if (fetch && !co_await LoadHistory(*fetch, reserve, ledger_deadline, line)) {
     co_return false;
   }
   state_->log.Write(line.Text("verdict", "admitted"));
   co_return true;
 }
 
-absl::Duration RequestRun::ProgramPause() const {
-  std::optional<std::chrono::milliseconds> left;
+absl::Duration RequestHandler::ProgramRetryDelay() const {
+  std::optional<std::chrono::milliseconds> remaining;
   if (info_.program_deadline) {
-    left = std::chrono::milliseconds(absl::ToInt64Milliseconds(*info_.program_deadline));
+    remaining = std::chrono::milliseconds(absl::ToInt64Milliseconds(*info_.program_deadline));
   }
   return absl::FromChrono(
-      program_retry_delay(left, state_->random.Uniform(), state_->options.admission));
+      program_retry_delay(remaining, state_->random.Uniform(), state_->options.admission));
 }
 
-Task<bool> RequestRun::TakeVerdict(const turn_ledger::CallResult& result, Line& line) {
+Task<bool> RequestHandler::HandleVerdict(const turn_ledger::CallResult& result, Line& line) {
   if (result.end == turn_ledger::CallEnd::kNoAnswer) {
     state_->log.Write(line.Text("verdict", "no_answer"));
-    SettleLater(0);
+    SettleInBackground(0);
     co_await Refuse("the turn ledger did not answer");
     co_return false;
   }
@@ -290,14 +292,14 @@
     co_await Refuse("the turn ledger is overloaded");
   } else if (result->verdict == turn_ledger::Verdict::kNewProgram) {
     state_->log.Write(line.Text("verdict", "engines_full"));
-    co_await AnswerOwn(503, "no new program can begin now", ProgramPause());
+    co_await SendError(503, "no new program can begin now", ProgramRetryDelay());
   } else if (result->verdict == turn_ledger::Verdict::kBudgetSpent) {
     state_->log.Write(line.Text("verdict", "budget_spent"));
-    co_await AnswerOwn(402, "the program's budget is spent", std::nullopt);
+    co_await SendError(402, "the program's budget is spent", std::nullopt);
   } else if (result->verdict == turn_ledger::Verdict::kUnknownPrevious) {
     state_->log.Write(
         line.Text("verdict", "unknown_previous").Text("previous", info_.previous_turn->value));
-    co_await AnswerOwn(404, "no such turn", std::nullopt);
+    co_await SendError(404, "no such turn", std::nullopt);
   } else {
     state_->log.Write(line.Text("verdict", "settled_before"));
     co_await Refuse("this try was given up before");
@@ -305,7 +307,7 @@
   co_return false;
 }
 
-engine_load RequestRun::EngineLoad() const {
+engine_load RequestHandler::EngineLoad() const {
   engine_load load;
   for (const discovery::RunnerState* runner : state_->runners.OfService(service_name_)) {
     load.m_active += runner->Active();
@@ -314,27 +316,27 @@
   return load;
 }
 
-Task<turn_ledger::CallResult> RequestRun::Reserve(turn_ledger::ReserveTurn reserve,
-                                                  absl::Time patience,
-                                                  turn_ledger::Programs programs) {
+Task<turn_ledger::CallResult> RequestHandler::Reserve(turn_ledger::ReserveTurn reserve,
+                                                      absl::Time ledger_deadline,
+                                                      turn_ledger::Programs programs) {
   turn_ledger::CallResult result = co_await state_->ledger->Call(
-      group_, reserve, patience, turn_ledger::Relaying::kAllowed, programs);
+      group_, reserve, ledger_deadline, turn_ledger::Relaying::kAllowed, programs);
   bool unknown = result && result->verdict == turn_ledger::Verdict::kUnknownPrevious;
   if (unknown && state_->ledger->groups() > 1) {
-    result = co_await ReserveOnForeignTurn(std::move(reserve), patience);
+    result = co_await ReserveAfterOtherGroupsTurn(std::move(reserve), ledger_deadline);
   }
   co_return result;
 }
 
-Task<turn_ledger::CallResult> RequestRun::ReserveOnForeignTurn(turn_ledger::ReserveTurn reserve,
-                                                               absl::Time patience) {
+Task<turn_ledger::CallResult> RequestHandler::ReserveAfterOtherGroupsTurn(
+    turn_ledger::ReserveTurn reserve, absl::Time ledger_deadline) {
   other_groups_result search =
-      co_await search_other_groups(state_, group_, *previous_turn_, patience);
+      co_await search_other_groups(state_, group_, *previous_turn_, ledger_deadline);
   if (search.m_chain != nullptr) {
     // The chain is stored in this program's group as the start of the new turn.
-    foreign_history_ = search.m_chain;
+    other_group_history_ = search.m_chain;
     reserve.previous.reset();
-    co_return co_await state_->ledger->Call(group_, reserve, patience);
+    co_return co_await state_->ledger->Call(group_, reserve, ledger_deadline);
   }
   turn_ledger::CallResult result;
   if (search.m_complete) {
@@ -344,30 +346,30 @@
   co_return result;
 }
 
-void RequestRun::PutHistoryFirst(std::shared_ptr<const std::string> history) {
+void RequestHandler::PrependHistory(std::shared_ptr<const std::string> history) {
   history_ = std::move(history);
   body_ = std::make_shared<std::string>(absl::StrCat(*history_, *body_));
 }
 
-void RequestRun::TakeRelayedHistory(std::string history, Line& line) {
+void RequestHandler::UseLeaderHistory(std::string history, Line& line) {
   auto chain = std::make_shared<const std::string>(std::move(history));
   state_->turns.Put(program_, *previous_turn_, chain);
   line.Text("history", name_of(history_source::leader));
   line.Number("history_bytes", static_cast<std::int64_t>(chain->size()));
-  PutHistoryFirst(std::move(chain));
+  PrependHistory(std::move(chain));
 }
 
-Task<bool> RequestRun::TakeHistory(history_fetch& fetch, turn_ledger::ReserveTurn reserve,
-                                   absl::Time patience, Line& line) {
+Task<bool> RequestHandler::LoadHistory(history_fetch& fetch, turn_ledger::ReserveTurn reserve,
+                                       absl::Time ledger_deadline, Line& line) {
   std::shared_ptr<const std::string> chain = co_await fetch.wait();
   history_source source = fetch.source();
   if (chain == nullptr) {
     // No replica had the chain yet: ask the leader. Repeating a reservation is idempotent.
     reserve.has_previous = false;
-    auto result = co_await state_->ledger->Call(group_, reserve, patience);
+    auto result = co_await state_->ledger->Call(group_, reserve, ledger_deadline);
     if (!result || result->verdict != turn_ledger::Verdict::kDone) {
       state_->log.Write(line.Text("verdict", "no_history"));
-      SettleLater(0);
+      SettleInBackground(0);
       co_await Refuse("the turn's history could not be read");
       co_return false;
     }
@@ -377,7 +379,7 @@
   }
   line.Text("history", name_of(source));
   line.Number("history_bytes", static_cast<std::int64_t>(chain->size()));
-  PutHistoryFirst(std::move(chain));
+  PrependHistory(std::move(chain));
   co_return true;
 }
 
--- a/src/forwarding/request_run.cc
+++ b/src/forwarding/request_handler.cc
@@ -1,4 +1,4 @@
-#include "forwarding/request_run.h"
+#include "forwarding/request_handler.h"
 
 #include <algorithm>
 #include <utility>
@@ -43,17 +43,17 @@
 
 }  // namespace
 
-RequestRun::RequestRun(std::shared_ptr<GatewayState> state,
-                       std::shared_ptr<async_http::Exchange> exchange)
+RequestHandler::RequestHandler(std::shared_ptr<GatewayState> state,
+                               std::shared_ptr<async_http::Exchange> exchange)
     : state_(std::move(state)), exchange_(std::move(exchange)) {}
 
-Task<void> RequestRun::Run() {
+Task<void> RequestHandler::Run() {
   info_ = ReadRequestInfo(exchange_->request(), state_->names);
   if (!co_await FindRoute() || !co_await CheckKey()) {
     co_return;
   }
   body_ = std::make_shared<std::string>(std::move(exchange_->request().body()));
-  if (!co_await TakeQuota() || !co_await AdmitTurn()) {
+  if (!co_await CheckQuota() || !co_await AdmitTurn()) {
     co_return;
   }
   exchange_->OnClientGone([this] {
@@ -63,10 +63,10 @@
   });
   co_await TryRunners();
   exchange_->ClearOnClientGone();
-  SettleLater(TokensDelivered());
+  SettleInBackground(TokensDelivered());
 }
 
-std::string RequestRun::RequestHead(const discovery::Runner& runner) const {
+std::string RequestHandler::RequestHead(const discovery::Runner& runner) const {
   const auto& request = exchange_->request();
   const HeaderNames& names = state_->names;
   http::fields fields;
@@ -78,8 +78,8 @@
   if (!info_.id.value.empty()) {
     fields.set(names.request_id, info_.id.value);  // Even if a Connection header lists it.
   }
-  absl::Duration left = std::max(TimeLeft(), absl::Milliseconds(1));
-  fields.set(names.deadline_ms, absl::StrCat(absl::ToInt64Milliseconds(left)));
+  absl::Duration remaining = std::max(TimeLeft(), absl::Milliseconds(1));
+  fields.set(names.deadline_ms, absl::StrCat(absl::ToInt64Milliseconds(remaining)));
   fields.set(names.expected_runner, runner.id.value);
   if (delivered_.can_be_resumed()) {
     fields.set(names.last_event_id, delivered_.last_id());
@@ -101,7 +101,7 @@
   return text;
 }
 
-AttemptPlan RequestRun::MakePlan(const discovery::Runner& runner) {
+AttemptPlan RequestHandler::MakePlan(const discovery::Runner& runner) {
   AttemptPlan plan;
   plan.runner = runner;
   plan.head = RequestHead(runner);
@@ -111,83 +111,84 @@
   plan.stream = route_->kind == RouteKind::kStream;
   plan.deadline = deadline_;
   // A first-byte timeout is useful only if the request may be sent to another runner.
-  bool another_may = route_->Repeatable() && sent_to_ + 1 < route_->max_attempts;
-  if (another_may) {
-    absl::Duration silence = std::max(route_->target_latency * state_->options.silence_targets,
-                                      state_->options.least_silence);
-    plan.first_byte_deadline = SteadyNow() + silence;
+  bool can_retry = route_->Repeatable() && sent_attempts_ + 1 < route_->max_attempts;
+  if (can_retry) {
+    absl::Duration first_byte_timeout = std::max(
+        route_->target_latency * state_->options.silence_targets, state_->options.least_silence);
+    plan.first_byte_deadline = SteadyNow() + first_byte_timeout;
   }
   return plan;
 }
 
-RetryState RequestRun::CurrentRetryState() const {
+RetryState RequestHandler::CurrentRetryState() const {
   RetryState retry_state;
   retry_state.repeatable = route_->Repeatable();
   retry_state.can_resume =
       route_->kind == RouteKind::kStream && route_->resumable && delivered_.can_be_resumed();
   retry_state.response_started = exchange_->stream_started();
   retry_state.may_have_run = may_have_run_;
-  retry_state.attempts_left = route_->max_attempts - sent_to_;
+  retry_state.attempts_left = route_->max_attempts - sent_attempts_;
   retry_state.time_left = TimeLeft();
   return retry_state;
 }
 
-Task<AttemptResult> RequestRun::RunOnce(const discovery::Runner& runner, stream_forwarder& run) {
+Task<AttemptResult> RequestHandler::RunAttempt(const discovery::Runner& runner,
+                                               stream_forwarder& forwarder) {
   discovery::RunnerState* entry = state_->runners.Find(runner.id);
   ++entry->own_active;
   last_runner_ = entry->short_id;
-  absl::Time began = SteadyNow();
+  absl::Time start = SteadyNow();
   Attempt attempt(*state_, MakePlan(runner));
   attempt_ = &attempt;
   if (exchange_->client_gone()) {
     attempt.Abort(AttemptOutcome::kClientGone);
   }
-  AttemptResult result = co_await attempt.Run(run);
+  AttemptResult result = co_await attempt.Run(forwarder);
   attempt_ = nullptr;
   if (discovery::RunnerState* after = state_->runners.Find(runner.id)) {
     --after->own_active;
   }
-  if (run.sent_head()) {
+  if (forwarder.sent_head()) {
     head_runner_ = runner.id.value;
   }
-  NoteResult(runner, result);
-  LogAttempt(runner, result, run, began);
+  RecordResult(runner, result);
+  LogAttempt(runner, result, forwarder, start);
   co_return result;
 }
 
-void RequestRun::NoteResult(const discovery::Runner& runner, const AttemptResult& result) {
+void RequestHandler::RecordResult(const discovery::Runner& runner, const AttemptResult& result) {
   using discovery::RunnerSignal;
   absl::Time now = SteadyNow();
   bool ran = result.sent && result.outcome != AttemptOutcome::kNotRun;
   may_have_run_ = may_have_run_ || ran;
-  sent_to_ += result.sent && !result.wrong_runner ? 1 : 0;
+  sent_attempts_ += result.sent && !result.wrong_runner ? 1 : 0;
   tried_.insert(runner.id.value);
   last_detail_ = result.detail;
-  auto note = [&](RunnerSignal signal) { state_->runners.Note(now, runner.id, signal); };
+  auto report = [&](RunnerSignal signal) { state_->runners.Note(now, runner.id, signal); };
   switch (result.outcome) {
     case AttemptOutcome::kCompleted:
-      note(result.streamed || result.response.head.result_int() < 500 ? RunnerSignal::kServed
-                                                                      : RunnerSignal::kFailed);
+      report(result.streamed || result.response.head.result_int() < 500 ? RunnerSignal::kServed
+                                                                        : RunnerSignal::kFailed);
       break;
     case AttemptOutcome::kNotRun:
-      note(result.wrong_runner ? RunnerSignal::kLeaves : RunnerSignal::kTurnedAway);
+      report(result.wrong_runner ? RunnerSignal::kLeaves : RunnerSignal::kTurnedAway);
       break;
     case AttemptOutcome::kNotSent:
-      note(RunnerSignal::kUnreachable);
+      report(RunnerSignal::kUnreachable);
       break;
     case AttemptOutcome::kNoResponse:
     case AttemptOutcome::kTruncated:
     case AttemptOutcome::kTimedOut:
-      note(RunnerSignal::kFailed);
+      report(RunnerSignal::kFailed);
       break;
     case AttemptOutcome::kClientGone:
       break;
   }
-  NoteOutcome(runner, result);
+  RecordRunnerOutcome(runner, result);
 }
 
-void RequestRun::LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
-                            const stream_forwarder& run, absl::Time began) {
+void RequestHandler::LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
+                                const stream_forwarder& forwarder, absl::Time start) {
   state_->metrics.CountAttempt(NameOf(result.outcome));
   state_->log.Write(
       Line("attempt_ended")
@@ -196,15 +197,16 @@
           .Text("end", NameOf(result.outcome))
           .Number("status", result.response.head.result_int())
           .Number("events", static_cast<std::int64_t>(delivered_.count()))
-          .Text("first_event", run.first_event_id())
-          .Number("unfinished_bytes", static_cast<std::int64_t>(run.unfinished_bytes()))
+          .Text("first_event", forwarder.first_event_id())
+          .Number("unfinished_bytes", static_cast<std::int64_t>(forwarder.unfinished_bytes()))
           .Text("framing", result.framing)
           .Flag("reused", result.reused)
           .Text("detail", result.detail)
-          .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - began)));
+          .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - start)));
 }
 
-void RequestRun::NoteOutcome(const discovery::Runner& runner, const AttemptResult& result) {
+void RequestHandler::RecordRunnerOutcome(const discovery::Runner& runner,
+                                         const AttemptResult& result) {
   bool streams = route_->kind == RouteKind::kStream;
   discovery::request_outcomes outcome;
   switch (result.outcome) {
@@ -224,14 +226,14 @@
   state_->runners.NoteOutcome(runner.id, outcome);
 }
 
-Task<void> RequestRun::TryRunners() {
+Task<void> RequestHandler::TryRunners() {
   while (true) {
     if (exchange_->client_gone()) {
-      Close("client_gone");
+      EndRequest("client_gone");
       co_return;
     }
-    if (!KeyStillHolds()) {
-      co_await RefuseKey();
+    if (!KeyStillValid()) {
+      co_await RejectRevokedKey();
       co_return;
     }
     std::optional<discovery::Runner> runner;
@@ -241,10 +243,10 @@
     AttemptOutcome outcome = AttemptOutcome::kNotSent;
     AttemptResult result;
     // One forwarder per attempt: the head and partial event of a failed attempt are discarded.
-    stream_forwarder run(*exchange_, delivered_, [this] { NotePlacement(); });
+    stream_forwarder forwarder(*exchange_, delivered_, [this] { RecordPlacement(); });
     RetryState retry_state = CurrentRetryState();
     if (runner) {
-      result = co_await RunOnce(*runner, run);
+      result = co_await RunAttempt(*runner, forwarder);
       outcome = result.outcome;
       retry_state = CurrentRetryState();
       retry_state.streamed = result.streamed;
@@ -259,7 +261,7 @@
         if (head_runner_.empty()) {
           head_runner_ = runner->id.value;
         }
-        co_await PassOn(result, run);
+        co_await ForwardResponse(result, forwarder);
         co_return;
       case NextStep::kRetry:
         continue;
@@ -272,23 +274,23 @@
         co_await Refuse(runner ? "no runner took it" : "no runner to send it to");
         co_return;
       case NextStep::kFail:
-        co_await AnswerOwn(502, "the runner broke off", std::nullopt);
+        co_await SendError(502, "the runner broke off", std::nullopt);
         co_return;
       case NextStep::kTimeOut:
-        co_await AnswerOwn(504, "no answer in time", std::nullopt);
+        co_await SendError(504, "no answer in time", std::nullopt);
         co_return;
       case NextStep::kAbort:
         exchange_->Break();
-        Close("broken");
+        EndRequest("broken");
         co_return;
       case NextStep::kNone:
-        Close("client_gone");
+        EndRequest("client_gone");
         co_return;
     }
   }
 }
 
-void RequestRun::NotePlacement() {
+void RequestHandler::RecordPlacement() {
   state_->prefixes.NoteAll(SteadyNow(), info_.prompt, last_runner_);
   // For stored turns the ledger provides the placement to any gateway.
   if (!info_.prompt.empty() && !route_->keeps_turns && state_->on_placement) {
@@ -296,23 +298,23 @@
   }
 }
 
-Task<void> RequestRun::PassOn(AttemptResult& result, stream_forwarder& run) {
+Task<void> RequestHandler::ForwardResponse(AttemptResult& result, stream_forwarder& forwarder) {
   if (result.streamed) {
-    co_await FinishStream(run);
+    co_await FinishStream(forwarder);
     co_return;
   }
-  HttpHead passed;
-  passed.result(result.response.head.result());
-  passed.reason(result.response.head.reason());
-  copy_end_to_end(result.response.head, passed);
-  SettleLater(0);
-  bool sent = co_await exchange_->Send(std::move(passed), std::move(result.response.body));
-  Close(sent ? "answered" : "client_gone");
+  HttpHead forwarded;
+  forwarded.result(result.response.head.result());
+  forwarded.reason(result.response.head.reason());
+  copy_end_to_end(result.response.head, forwarded);
+  SettleInBackground(0);
+  bool sent = co_await exchange_->Send(std::move(forwarded), std::move(result.response.body));
+  EndRequest(sent ? "answered" : "client_gone");
 }
 
-Task<void> RequestRun::FinishStream(stream_forwarder& run) {
-  if (!co_await run.forward_unfinished()) {
-    Close("client_gone");
+Task<void> RequestHandler::FinishStream(stream_forwarder& forwarder) {
+  if (!co_await forwarder.forward_unfinished()) {
+    EndRequest("client_gone");
     co_return;
   }
   if (auto stride = delivered_.stride()) {
@@ -320,20 +322,20 @@
   }
   if (route_->keeps_turns && !co_await CommitTurn()) {
     exchange_->Break();
-    Close("commit_unknown");
+    EndRequest("commit_unknown");
     co_return;
   }
-  SettleLater(TokensDelivered());
+  SettleInBackground(TokensDelivered());
   bool finished = co_await exchange_->Finish();
-  Close(finished ? "answered" : "client_gone");
+  EndRequest(finished ? "answered" : "client_gone");
 }
 
-Task<void> RequestRun::Refuse(absl::string_view reason) {
-  co_await AnswerOwn(503, reason, state_->options.retry_after);
+Task<void> RequestHandler::Refuse(absl::string_view reason) {
+  co_await SendError(503, reason, state_->options.retry_after);
 }
 
-Task<void> RequestRun::AnswerOwn(unsigned status, absl::string_view reason,
-                                 std::optional<absl::Duration> retry_after) {
+Task<void> RequestHandler::SendError(unsigned status, absl::string_view reason,
+                                     std::optional<absl::Duration> retry_after) {
   last_detail_ = absl::StrCat(reason, last_detail_.empty() ? "" : ": ", last_detail_);
   head_runner_.clear();
   HttpHead head;
@@ -347,10 +349,10 @@
              absl::StrFormat("%.2f", absl::ToDoubleSeconds(*retry_after)));
   }
   co_await exchange_->Send(std::move(head), absl::StrCat("{\"error\":\"", reason, "\"}"));
-  Close(absl::StrCat("own_", status));
+  EndRequest(absl::StrCat("own_", status));
 }
 
-void RequestRun::Close(absl::string_view outcome) {
+void RequestHandler::EndRequest(absl::string_view outcome) {
   absl::Duration took = SteadyNow() - exchange_->received_at();
   state_->metrics.CountRequest(std::string(outcome));
   state_->metrics.Observe(Stage::kWhole, took);
@@ -360,7 +362,7 @@
                         .Text("outcome", outcome)
                         .Text("detail", last_detail_)
                         .Text("head_of", head_runner_)
-                        .Number("sent_to", sent_to_)
+                        .Number("sent_to", sent_attempts_)
                         .Number("events", static_cast<std::int64_t>(delivered_.count()))
                         .Real("ms", absl::ToDoubleMilliseconds(took)));
 }
--- a/src/forwarding/request_run.h
+++ b/src/forwarding/request_handler.h
@@ -17,32 +17,33 @@
 
 namespace martenyard::forwarding {
 
-class RequestRun {
+class RequestHandler {
  public:
-  RequestRun(std::shared_ptr<GatewayState> state, std::shared_ptr<async_http::Exchange> exchange);
+  RequestHandler(std::shared_ptr<GatewayState> state,
+                 std::shared_ptr<async_http::Exchange> exchange);
 
   /// Handles the request until the response is sent or the client has disconnected.
   async_http::Task<void> Run();
 
  private:
   /// State that is not available immediately after the start of the process.
-  enum class Knowledge { kRoutes, kLedgerGroups, kLease };
-  bool Knows(Knowledge what) const;
+  enum class Prerequisite { kRoutes, kLedgerGroups, kLease };
+  bool IsAvailable(Prerequisite prerequisite) const;
   /// Waits until `prerequisite` is available, for at most the start-up timeout or a quarter of the
   /// request's time.
-  async_http::Task<void> WaitFor(Knowledge what);
+  async_http::Task<void> WaitFor(Prerequisite prerequisite);
   /// Finds the route. @return false if it sent an error.
   async_http::Task<bool> FindRoute();
   /// Checks the API key and sets the tenant. @return false if it sent an error.
   async_http::Task<bool> CheckKey();
   /// Counts the request against its tenant's quota. @return false if it sent an error.
-  async_http::Task<bool> TakeQuota();
+  async_http::Task<bool> CheckQuota();
   /// @return whether the API key is still valid in the current configuration.
-  bool KeyStillHolds() const;
+  bool KeyStillValid() const;
   /// Sends 503 to a request whose API key can't be verified without a valid configuration lease.
   async_http::Task<void> RefuseWithoutLease(absl::string_view reason);
   /// Ends a request whose API key became invalid or unverifiable after admission.
-  async_http::Task<void> RefuseKey();
+  async_http::Task<void> RejectRevokedKey();
   /// Scopes the ids chosen by the client to its tenant.
   void ScopeIds();
   /// Reserves the turn's tokens and loads its history. @return false if it sent an error.
@@ -50,23 +51,24 @@
   /// Reserves in the program's group. If the previous turn is unknown there, searches the other
   /// groups for it.
   async_http::Task<turn_ledger::CallResult> Reserve(turn_ledger::ReserveTurn reserve,
-                                                    absl::Time patience,
+                                                    absl::Time ledger_deadline,
                                                     turn_ledger::Programs programs);
   /// Handles the ledger's verdict. @return false if it sent an error.
-  async_http::Task<bool> TakeVerdict(const turn_ledger::CallResult& result, event_log::Line& line);
+  async_http::Task<bool> HandleVerdict(const turn_ledger::CallResult& result,
+                                       event_log::Line& line);
   engine_load EngineLoad() const;
   /// @return the Retry-After time of a refused new program.
-  absl::Duration ProgramPause() const;
+  absl::Duration ProgramRetryDelay() const;
   /// Reserves with the history of a previous turn that another group has.
-  async_http::Task<turn_ledger::CallResult> ReserveOnForeignTurn(turn_ledger::ReserveTurn reserve,
-                                                                 absl::Time patience);
+  async_http::Task<turn_ledger::CallResult> ReserveAfterOtherGroupsTurn(
+      turn_ledger::ReserveTurn reserve, absl::Time ledger_deadline);
   /// Waits for the history and prepends it to the body. @return false if it sent an error.
-  async_http::Task<bool> TakeHistory(history_fetch& fetch, turn_ledger::ReserveTurn reserve,
-                                     absl::Time patience, event_log::Line& line);
+  async_http::Task<bool> LoadHistory(history_fetch& fetch, turn_ledger::ReserveTurn reserve,
+                                     absl::Time ledger_deadline, event_log::Line& line);
   /// Prepends the history to the request body.
-  void PutHistoryFirst(std::shared_ptr<const std::string> history);
+  void PrependHistory(std::shared_ptr<const std::string> history);
   /// Caches a history that came with the leader's verdict and prepends it to the body.
-  void TakeRelayedHistory(std::string history, event_log::Line& line);
+  void UseLeaderHistory(std::string history, event_log::Line& line);
   async_http::Task<void> TryRunners();
   std::optional<discovery::Runner> Choose();
   std::vector<Candidate> Candidates();
@@ -76,27 +78,28 @@
   std::string RequestHead(const discovery::Runner& runner) const;
   /// @return the priority rank sent to engines; 0 is the most urgent.
   int PriorityRank() const;
-  async_http::Task<AttemptResult> RunOnce(const discovery::Runner& runner, stream_forwarder& run);
-  void NoteResult(const discovery::Runner& runner, const AttemptResult& result);
+  async_http::Task<AttemptResult> RunAttempt(const discovery::Runner& runner,
+                                             stream_forwarder& forwarder);
+  void RecordResult(const discovery::Runner& runner, const AttemptResult& result);
   void LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
-                  const stream_forwarder& run, absl::Time began);
+                  const stream_forwarder& forwarder, absl::Time start);
   /// Records in the runner's failure statistics whether it lost the request.
-  void NoteOutcome(const discovery::Runner& runner, const AttemptResult& result);
+  void RecordRunnerOutcome(const discovery::Runner& runner, const AttemptResult& result);
   /// Records that the runner has cached the prompt.
-  void NotePlacement();
+  void RecordPlacement();
   RetryState CurrentRetryState() const;
-  async_http::Task<void> PassOn(AttemptResult& result, stream_forwarder& run);
-  async_http::Task<void> FinishStream(stream_forwarder& run);
+  async_http::Task<void> ForwardResponse(AttemptResult& result, stream_forwarder& forwarder);
+  async_http::Task<void> FinishStream(stream_forwarder& forwarder);
   std::uint32_t RetentionMilliseconds() const;
   /// @return the ledger operation that settles the turn with `tokens` tokens.
   turn_ledger::SettleTurn Settlement(std::uint64_t tokens) const;
   /// Commits the turn to the ledger. @return false when the commit is not confirmed.
   async_http::Task<bool> CommitTurn();
-  void SettleLater(std::uint64_t tokens);
-  async_http::Task<void> AnswerOwn(unsigned status, absl::string_view reason,
+  void SettleInBackground(std::uint64_t tokens);
+  async_http::Task<void> SendError(unsigned status, absl::string_view reason,
                                    std::optional<absl::Duration> retry_after);
   async_http::Task<void> Refuse(absl::string_view reason);
-  void Close(absl::string_view outcome);
+  void EndRequest(absl::string_view outcome);
   absl::Duration TimeLeft() const;
   std::uint64_t TokensDelivered() const;
   std::uint64_t ConnectionShare(const ServiceName& service) const;
@@ -118,12 +121,12 @@
 
   bool reserved_ = false;
   bool settled_ = false;
-  GroupId group_;                                       // Ledger group of the program.
-  std::shared_ptr<const std::string> history_;          // Chain of the previous turns.
-  std::shared_ptr<const std::string> foreign_history_;  // The same, of another program.
+  GroupId group_;                                           // Ledger group of the program.
+  std::shared_ptr<const std::string> history_;              // Chain of the previous turns.
+  std::shared_ptr<const std::string> other_group_history_;  // The same, of another program.
 
   std::set<std::string> tried_;
-  int sent_to_ = 0;  // Attempts that sent the request, except to a wrong runner.
+  int sent_attempts_ = 0;  // Attempts that sent the request, except to a wrong runner.
   bool may_have_run_ = false;
   Attempt* attempt_ = nullptr;
   delivered_events delivered_;  // Over all attempts.
--- a/src/forwarding/request_choice.cc
+++ b/src/forwarding/request_runner_selection.cc
@@ -4,7 +4,7 @@
 
 #include "base/clock.h"
 #include "base/hash.h"
-#include "forwarding/request_run.h"
+#include "forwarding/request_handler.h"
 
 namespace martenyard::forwarding {
 
@@ -19,13 +19,13 @@
 
 }  // namespace
 
-std::uint64_t RequestRun::ConnectionShare(const ServiceName& service) const {
+std::uint64_t RequestHandler::ConnectionShare(const ServiceName& service) const {
   const Service* found = routes_->configuration().FindService(service);
-  std::uint64_t most = found == nullptr ? 64 : found->max_connections;
-  return std::max<std::uint64_t>(4, most / std::max<std::uint32_t>(1, state_->gateways));
+  std::uint64_t limit = found == nullptr ? 64 : found->max_connections;
+  return std::max<std::uint64_t>(4, limit / std::max<std::uint32_t>(1, state_->gateways));
 }
 
-std::vector<Candidate> RequestRun::Candidates() {
+std::vector<Candidate> RequestHandler::Candidates() {
   absl::Time now = SteadyNow();
   auto steady_now = std::chrono::steady_clock::now();
   std::vector<Candidate> candidates;
@@ -52,7 +52,7 @@
   return candidates;
 }
 
-double RequestRun::LossCost() const {
+double RequestHandler::LossCost() const {
   const ChoiceOptions& options = state_->options.choice;
   if (route_->Repeatable()) {
     return options.repeatable_loss_ms;
@@ -60,7 +60,7 @@
   return route_->kind == RouteKind::kStream ? options.turn_loss_ms : options.call_loss_ms;
 }
 
-std::optional<discovery::Runner> RequestRun::Choose() {
+std::optional<discovery::Runner> RequestHandler::Choose() {
   std::vector<Candidate> candidates = Candidates();
   ChoiceRequest request;
   request.prompt_tokens = info_.prompt_tokens;
@@ -101,7 +101,7 @@
   return runner->runner;
 }
 
-int RequestRun::PriorityRank() const {
+int RequestHandler::PriorityRank() const {
   int tenant_rank = tenant_ == nullptr ? 0 : tenant_->m_priority;
   return std::clamp(tenant_rank * kRoutePriorities + route_->priority, 0, kLastPriority);
 }
--- a/src/forwarding/request_settlement.cc
+++ b/src/forwarding/request_settlement.cc
@@ -4,18 +4,18 @@
 
 #include "absl/strings/str_cat.h"
 #include "base/clock.h"
-#include "forwarding/request_run.h"
+#include "forwarding/request_handler.h"
 
 namespace martenyard::forwarding {
 
 using async_http::Task;
 using event_log::Line;
 
-std::uint32_t RequestRun::RetentionMilliseconds() const {
+std::uint32_t RequestHandler::RetentionMilliseconds() const {
   return static_cast<std::uint32_t>(absl::ToInt64Milliseconds(route_->turn_retention));
 }
 
-turn_ledger::SettleTurn RequestRun::Settlement(std::uint64_t tokens) const {
+turn_ledger::SettleTurn RequestHandler::Settlement(std::uint64_t tokens) const {
   turn_ledger::SettleTurn settle;
   settle.program = program_;
   settle.turn = turn_;
@@ -24,31 +24,31 @@
   return settle;
 }
 
-Task<bool> RequestRun::CommitTurn() {
+Task<bool> RequestHandler::CommitTurn() {
   turn_ledger::SettleTurn settle = Settlement(TokensDelivered());
   turn_ledger::CompletedTurn completed;
-  bool goes_on = history_ != nullptr && foreign_history_ == nullptr;
-  std::size_t known = goes_on ? history_->size() : 0;
-  if (goes_on) {
+  bool extends_chain = history_ != nullptr && other_group_history_ == nullptr;
+  std::size_t history_size = extends_chain ? history_->size() : 0;
+  if (extends_chain) {
     completed.previous = turn_ledger::TurnId(previous_turn_->value);
   }
-  completed.input = body_->substr(known);
+  completed.input = body_->substr(history_size);
   completed.output = delivered_.data();
-  auto made = static_cast<std::uint32_t>(TokensDelivered());
-  completed.place = {last_runner_, info_.prompt_tokens + made};
+  auto output_tokens = static_cast<std::uint32_t>(TokensDelivered());
+  completed.place = {last_runner_, info_.prompt_tokens + output_tokens};
   settle.completed = std::move(completed);
   settled_ = true;
-  absl::Time began = SteadyNow();
+  absl::Time start = SteadyNow();
   // The response is aborted only after the request's deadline: a commit during a leader change of
   // the ledger is confirmed a moment later.
   absl::Time end =
-      std::max(deadline_ - state_->options.answer_margin, began + state_->options.commit_patience);
+      std::max(deadline_ - state_->options.answer_margin, start + state_->options.commit_patience);
   auto result = co_await state_->ledger->Call(group_, settle, end);
   state_->log.Write(Line("turn_committed")
                         .Text("request", info_.id.value)
                         .Number("events", static_cast<std::int64_t>(delivered_.count()))
                         .Flag("known", static_cast<bool>(result))
-                        .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - began)));
+                        .Real("ms", absl::ToDoubleMilliseconds(SteadyNow() - start)));
   if (!result) {
     co_return false;
   }
@@ -57,12 +57,12 @@
   co_return true;
 }
 
-std::uint64_t RequestRun::TokensDelivered() const {
+std::uint64_t RequestHandler::TokensDelivered() const {
   bool engine = service_ != nullptr && service_->engine;
   return delivered_.count() * (engine ? service_->engine->tokens_per_event : 1);
 }
 
-void RequestRun::SettleLater(std::uint64_t tokens) {
+void RequestHandler::SettleInBackground(std::uint64_t tokens) {
   if (!reserved_ || settled_) {
     return;
   }
