--- a/src/forwarding/attempt.cc
+++ b/src/forwarding/attempt.cc
@@ -114,7 +114,7 @@
     co_return true;
   }
   connection_ = std::make_shared<Connection>(state_.context, plan_.runner.endpoint);
-  state_.pool.NoteOpened(plan_.runner.id);
+  state_.pool.CountOpened(plan_.runner.id);
   absl::Duration timeout = std::min(state_.options.connect_timeout, plan_.deadline - SteadyNow());
   std::weak_ptr<Connection> weak = connection_;
   Alarm alarm(state_.context, timeout, [weak] {
@@ -126,7 +126,7 @@
   if (!connected || aborted_) {
     result.detail = "connection failed";
     connection_->Close();
-    state_.pool.NoteClosed(plan_.runner.id);
+    state_.pool.CountClosed(plan_.runner.id);
     co_return false;
   }
   co_return true;
@@ -273,7 +273,7 @@
     return;
   }
   connection_->Close();
-  state_.pool.NoteClosed(plan_.runner.id);
+  state_.pool.CountClosed(plan_.runner.id);
 }
 
 }  // namespace martenyard::forwarding
--- a/src/forwarding/connection_pool.cc
+++ b/src/forwarding/connection_pool.cc
@@ -7,16 +7,16 @@
 namespace {
 
 /// Assumed keep-alive time of a peer that sent none.
-constexpr absl::Duration kAssumedKeep = absl::Seconds(4);
+constexpr absl::Duration kDefaultKeepAlive = absl::Seconds(4);
 /// Idle connections are not reused within this time before the peer closes them.
-constexpr absl::Duration kKeepMargin = absl::Milliseconds(400);
+constexpr absl::Duration kKeepAliveMargin = absl::Milliseconds(400);
 
 bool IsExpired(const async_http::Connection& connection, absl::Time now) {
-  absl::Duration keeps = std::min(connection.peer_keeps(), kAssumedKeep * 10);
+  absl::Duration keep_alive = std::min(connection.peer_keeps(), kDefaultKeepAlive * 10);
   if (connection.peer_keeps() == absl::InfiniteDuration()) {
-    keeps = kAssumedKeep;
+    keep_alive = kDefaultKeepAlive;
   }
-  return connection.idle_since() + keeps - kKeepMargin < now;
+  return connection.idle_since() + keep_alive - kKeepAliveMargin < now;
 }
 
 }  // namespace
@@ -34,7 +34,7 @@
     if (!IsExpired(*connection, now) && !connection->IsStale()) {
       return connection;
     }
-    NoteClosed(runner);
+    CountClosed(runner);
   }
   return nullptr;
 }
@@ -51,34 +51,34 @@
         std::stable_partition(connections.begin(), connections.end(),
                               [&](const auto& connection) { return !IsExpired(*connection, now); });
     for (auto closed = expired; closed != connections.end(); ++closed) {
-      NoteClosed(runner);
+      CountClosed(runner);
     }
     connections.erase(expired, connections.end());
   }
 }
 
-void ConnectionPool::CloseAll(const discovery::RunnerId& runner) {
+void ConnectionPool::CloseIdleConnections(const discovery::RunnerId& runner) {
   auto found = idle_.find(runner);
   if (found == idle_.end()) {
     return;
   }
   for (std::size_t count = found->second.size(); count > 0; --count) {
-    NoteClosed(runner);
+    CountClosed(runner);
   }
   idle_.erase(found);
 }
 
-std::uint32_t ConnectionPool::Open(const discovery::RunnerId& runner) const {
+std::uint32_t ConnectionPool::OpenCount(const discovery::RunnerId& runner) const {
   auto found = open_.find(runner);
   return found == open_.end() ? 0 : found->second;
 }
 
-std::uint32_t ConnectionPool::Idle(const discovery::RunnerId& runner) const {
+std::uint32_t ConnectionPool::IdleCount(const discovery::RunnerId& runner) const {
   auto found = idle_.find(runner);
   return found == idle_.end() ? 0 : static_cast<std::uint32_t>(found->second.size());
 }
 
-void ConnectionPool::NoteClosed(const discovery::RunnerId& runner) {
+void ConnectionPool::CountClosed(const discovery::RunnerId& runner) {
   auto found = open_.find(runner);
   if (found == open_.end()) {
     return;
--- a/src/forwarding/connection_pool.h
+++ b/src/forwarding/connection_pool.h
@@ -21,14 +21,14 @@
               absl::Time now);
   /// Closes connections that have been idle for too long.
   void Prune(absl::Time now);
-  void CloseAll(const discovery::RunnerId& runner);
+  void CloseIdleConnections(const discovery::RunnerId& runner);
 
   /// @return the number of open connections to the runner, idle or in use.
-  std::uint32_t Open(const discovery::RunnerId& runner) const;
-  std::uint32_t Idle(const discovery::RunnerId& runner) const;
-  void NoteOpened(const discovery::RunnerId& runner) { ++open_[runner]; }
+  std::uint32_t OpenCount(const discovery::RunnerId& runner) const;
+  std::uint32_t IdleCount(const discovery::RunnerId& runner) const;
+  void CountOpened(const discovery::RunnerId& runner) { ++open_[runner]; }
   /// Counts a connection as closed; it must not be returned afterwards.
-  void NoteClosed(const discovery::RunnerId& runner);
+  void CountClosed(const discovery::RunnerId& runner);
 
  private:
   std::map<discovery::RunnerId, std::vector<std::shared_ptr<async_http::Connection>>> idle_;
--- a/src/forwarding/gateway_metrics.cc
+++ b/src/forwarding/gateway_metrics.cc
@@ -15,7 +15,7 @@
       return "connect";
     case Stage::kFirstByte:
       return "first_byte";
-    case Stage::kWhole:
+    case Stage::kTotal:
       return "whole";
   }
   return "unknown";
@@ -45,7 +45,7 @@
                   .Help("Present values, by name.")
                   .Register(registry_)) {
   for (Stage stage :
-       {Stage::kQuota, Stage::kLedger, Stage::kConnect, Stage::kFirstByte, Stage::kWhole}) {
+       {Stage::kQuota, Stage::kLedger, Stage::kConnect, Stage::kFirstByte, Stage::kTotal}) {
     histograms_[stage] = &stages_.Add({{"stage", NameOf(stage)}}, StageBuckets());
   }
 }
--- a/src/forwarding/gateway_metrics.h
+++ b/src/forwarding/gateway_metrics.h
@@ -15,7 +15,7 @@
 namespace martenyard::forwarding {
 
 /// Stages of a request with a latency histogram each.
-enum class Stage { kQuota, kLedger, kConnect, kFirstByte, kWhole };
+enum class Stage { kQuota, kLedger, kConnect, kFirstByte, kTotal };
 
 class GatewayMetrics {
  public:
--- a/src/forwarding/gateway_state.h
+++ b/src/forwarding/gateway_state.h
@@ -31,27 +31,27 @@
   ChoiceOptions choice;
   absl::Duration connect_timeout = absl::Milliseconds(250);
   /// Subtracted from the deadline to leave time for the response to reach the client.
-  absl::Duration answer_margin = absl::Milliseconds(10);
+  absl::Duration response_margin = absl::Milliseconds(10);
   absl::Duration retry_after = absl::Milliseconds(200);  ///< Sent with 503 responses.
   admission_options admission;
   /// Mean Retry-After while the configuration lease is lost. Store outages last for seconds, and a
   /// running program survives one if its few retries are spread over it.
-  absl::Duration lease_pause = absl::Milliseconds(800);
-  absl::Duration ledger_patience = absl::Milliseconds(900);  ///< For reserving a turn.
-  absl::Duration quota_patience = absl::Milliseconds(600);   ///< For the quota check.
+  absl::Duration lease_retry_after = absl::Milliseconds(800);
+  absl::Duration ledger_timeout = absl::Milliseconds(900);  ///< For reserving a turn.
+  absl::Duration quota_timeout = absl::Milliseconds(600);   ///< For the quota check.
   /// Minimum time allowed for committing a stored turn; a later request deadline extends it.
-  absl::Duration commit_patience = absl::Seconds(2);
-  absl::Duration settle_patience = absl::Seconds(20);
+  absl::Duration min_commit_timeout = absl::Seconds(2);
+  absl::Duration settle_timeout = absl::Seconds(20);
   /// Maximum wait of a request for the configuration, the ledger groups or the lease, which are
   /// not known in the first milliseconds after the start of the process.
-  absl::Duration start_patience = absl::Milliseconds(250);
+  absl::Duration startup_timeout = absl::Milliseconds(250);
   /// First-byte timeout of repeatable requests, as a multiple of the route's target latency.
-  double silence_targets = 4;
-  absl::Duration least_silence = absl::Milliseconds(600);
+  double first_byte_timeout_factor = 4;
+  absl::Duration min_first_byte_timeout = absl::Milliseconds(600);
   bool uses_turn_places = true;  ///< Use the ledger's place of the previous turn as a hint.
   bool reads_replicas = true;    ///< Read turn chains from any replica, not only from the leader.
   /// How long a draining runner may still be chosen if there is no other; set by the gateway role.
-  absl::Duration gone_usable = absl::Milliseconds(1200);
+  absl::Duration max_draining_runner_use = absl::Milliseconds(1200);
 };
 
 struct GatewayState {
@@ -63,7 +63,7 @@
         names(header_names),
         key_hasher(hasher),
         zone(own_zone),
-        informed(io) {}
+        prerequisite_changed(io) {}
 
   async_http::asio::io_context& context;
   event_log::EventLog& log;
@@ -75,7 +75,7 @@
   Random random{SystemSeed()};
 
   std::shared_ptr<const RouteTable> routes;  ///< Null until the first configuration is loaded.
-  async_http::Signal informed;               ///< Notified on new routes, ledger groups or lease.
+  async_http::Signal prerequisite_changed;   ///< Notified on new routes, ledger groups or lease.
   tenancy::configuration_lease lease;        ///< API keys are accepted while it is held.
   bool store_reachable = false;              ///< The configuration is known to be current.
   discovery::RunnerTable runners;
@@ -86,8 +86,8 @@
   std::unique_ptr<turn_ledger::LedgerClient> ledger;
   std::unique_ptr<quota_client> quotas;
   std::unique_ptr<turn_ledger::chain_reader> chains;
-  bool relaying = false;       ///< The ledger is reached only through peers.
-  std::uint32_t gateways = 1;  ///< Gateways that share the runners' connection limits.
+  bool ledger_relayed = false;      ///< The ledger is reached only through peers.
+  std::uint32_t gateway_count = 1;  ///< Gateways that share the runners' connection limits.
   /// Called with the last prompt part of a request when a runner starts processing it; used to
   /// inform the other gateways.
   std::function<void(const PromptPart& part, std::uint32_t runner)> on_placement;
--- a/src/forwarding/prefix_index.cc
+++ b/src/forwarding/prefix_index.cc
@@ -4,50 +4,50 @@
 
 namespace martenyard::forwarding {
 
-void PrefixIndex::Note(absl::Time now, const PromptPart& part, std::uint32_t runner) {
+void PrefixIndex::Record(absl::Time now, const PromptPart& part, std::uint32_t runner) {
   if (holders_.size() >= capacity_) {
     Prune(now);
   }
   std::vector<Holder>& holders = holders_[part.id];
   for (Holder& holder : holders) {
     if (holder.runner == runner) {
-      bool forgotten = holder.used + lifetime_ <= now;
-      holder.tokens = forgotten ? part.tokens : std::max(holder.tokens, part.tokens);
-      holder.used = now;
+      bool expired = holder.last_used + lifetime_ <= now;
+      holder.tokens = expired ? part.tokens : std::max(holder.tokens, part.tokens);
+      holder.last_used = now;
       return;
     }
   }
   holders.push_back({runner, part.tokens, now});
 }
 
-void PrefixIndex::NoteAll(absl::Time now, const std::vector<PromptPart>& prompt,
-                          std::uint32_t runner) {
+void PrefixIndex::RecordAll(absl::Time now, const std::vector<PromptPart>& prompt,
+                            std::uint32_t runner) {
   for (const PromptPart& part : prompt) {
-    Note(now, part, runner);
+    Record(now, part, runner);
   }
 }
 
-void PrefixIndex::NoteBeginning(absl::Time now, const std::vector<PromptPart>& prompt,
-                                std::uint32_t tokens, std::uint32_t runner) {
+void PrefixIndex::RecordPrefix(absl::Time now, const std::vector<PromptPart>& prompt,
+                               std::uint32_t tokens, std::uint32_t runner) {
   for (const PromptPart& part : prompt) {
     std::uint32_t read = std::min(part.tokens, tokens);
     if (read == 0) {
       return;
     }
-    Note(now, {part.id, read}, runner);
+    Record(now, {part.id, read}, runner);
     tokens -= read;
   }
 }
 
-void PrefixIndex::Forget(std::uint32_t runner) {
+void PrefixIndex::EvictRunner(std::uint32_t runner) {
   absl::erase_if(holders_, [&](auto& entry) {
     std::erase_if(entry.second, [&](const Holder& holder) { return holder.runner == runner; });
     return entry.second.empty();
   });
 }
 
-std::uint32_t PrefixIndex::KeptTokens(absl::Time now, const std::vector<PromptPart>& prompt,
-                                      std::uint32_t runner) const {
+std::uint32_t PrefixIndex::CachedTokens(absl::Time now, const std::vector<PromptPart>& prompt,
+                                        std::uint32_t runner) const {
   std::uint32_t tokens = 0;
   for (const PromptPart& part : prompt) {
     auto found = holders_.find(part.id);
@@ -56,7 +56,7 @@
     }
     auto holder =
         std::find_if(found->second.begin(), found->second.end(), [&](const Holder& candidate) {
-          return candidate.runner == runner && candidate.used + lifetime_ > now;
+          return candidate.runner == runner && candidate.last_used + lifetime_ > now;
         });
     if (holder == found->second.end()) {
       return tokens;
@@ -72,7 +72,7 @@
 void PrefixIndex::Prune(absl::Time now) {
   auto prune_older_than = [&](absl::Time limit) {
     absl::erase_if(holders_, [&](auto& entry) {
-      std::erase_if(entry.second, [&](const Holder& holder) { return holder.used < limit; });
+      std::erase_if(entry.second, [&](const Holder& holder) { return holder.last_used < limit; });
       return entry.second.empty();
     });
   };
--- a/src/forwarding/prefix_index.h
+++ b/src/forwarding/prefix_index.h
@@ -20,23 +20,23 @@
 
   /// Records that `runner` (a short id) has read `part` with its present number of tokens; the part
   /// of a session grows with each turn.
-  void Note(absl::Time now, const PromptPart& part, std::uint32_t runner);
-  void NoteAll(absl::Time now, const std::vector<PromptPart>& prompt, std::uint32_t runner);
+  void Record(absl::Time now, const PromptPart& part, std::uint32_t runner);
+  void RecordAll(absl::Time now, const std::vector<PromptPart>& prompt, std::uint32_t runner);
   /// Records that `runner` has read the first `tokens` tokens of the prompt.
-  void NoteBeginning(absl::Time now, const std::vector<PromptPart>& prompt, std::uint32_t tokens,
-                     std::uint32_t runner);
+  void RecordPrefix(absl::Time now, const std::vector<PromptPart>& prompt, std::uint32_t tokens,
+                    std::uint32_t runner);
   /// Removes all entries of `runner`, whose cache is empty after a restart.
-  void Forget(std::uint32_t runner);
+  void EvictRunner(std::uint32_t runner);
   /// @return the number of leading tokens of `prompt` that the runner is assumed to have cached.
-  std::uint32_t KeptTokens(absl::Time now, const std::vector<PromptPart>& prompt,
-                           std::uint32_t runner) const;
+  std::uint32_t CachedTokens(absl::Time now, const std::vector<PromptPart>& prompt,
+                             std::uint32_t runner) const;
   std::size_t size() const { return holders_.size(); }
 
  private:
   struct Holder {
     std::uint32_t runner = 0;
     std::uint32_t tokens = 0;
-    absl::Time used;
+    absl::Time last_used;
   };
 
   void Prune(absl::Time now);
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -46,9 +46,9 @@
 
 Task<void> RequestHandler::WaitFor(Prerequisite prerequisite) {
   absl::Duration allowed = info_.deadline.value_or(absl::Seconds(1)) / 4;
-  absl::Time end = exchange_->received_at() + std::min(state_->options.start_patience, allowed);
+  absl::Time end = exchange_->received_at() + std::min(state_->options.startup_timeout, allowed);
   while (!IsAvailable(prerequisite) && SteadyNow() < end) {
-    co_await state_->informed.Wait(end - SteadyNow());
+    co_await state_->prerequisite_changed.Wait(end - SteadyNow());
   }
 }
 
@@ -118,7 +118,7 @@
   }
   absl::Time start = SteadyNow();
   absl::Time deadline =
-      std::min(start + state_->options.quota_patience, deadline_ - state_->options.answer_margin);
+      std::min(start + state_->options.quota_timeout, deadline_ - state_->options.response_margin);
   std::uint64_t program = program_.value.empty() ? 0 : StableHash(program_.value);
   std::uint64_t version = routes_->configuration().version;
   quota_decision decision = co_await state_->quotas->admit(*tenant_, version, program, deadline);
@@ -168,7 +168,7 @@
 Task<void> RequestHandler::RefuseWithoutLease(absl::string_view reason) {
   // Jitter of +-25 %, so that clients refused together don't retry together.
   absl::Duration retry_delay =
-      state_->options.lease_pause * (0.75 + 0.5 * state_->random.Uniform());
+      state_->options.lease_retry_after * (0.75 + 0.5 * state_->random.Uniform());
   co_await SendError(503, reason, retry_delay);
 }
 
@@ -214,14 +214,14 @@
   turn_ledger::ReserveTurn reserve;
   reserve.program = program_;
   reserve.turn = turn_;
-  reserve.tokens = info_.most_output_tokens;
+  reserve.tokens = info_.max_output_tokens;
   reserve.budget = info_.token_budget;
   reserve.retention_ms = RetentionMilliseconds();
   std::optional<history_fetch> fetch;
   if (stores_turn && previous_turn_) {
     reserve.previous = turn_ledger::TurnId(previous_turn_->value);
     reserve.has_previous = true;
-    bool readable = state_->options.reads_replicas && !state_->relaying;
+    bool readable = state_->options.reads_replicas && !state_->ledger_relayed;
     if (!readable && state_->turns.Find(*previous_turn_) == nullptr) {
       reserve.has_previous = false;  // Replicas can't be read: the leader sends the chain.
     } else {
@@ -230,7 +230,7 @@
   }
   absl::Time start = SteadyNow();
   absl::Time ledger_deadline =
-      std::min(deadline_ - state_->options.answer_margin, start + state_->options.ledger_patience);
+      std::min(deadline_ - state_->options.response_margin, start + state_->options.ledger_timeout);
   engine_load load = EngineLoad();
   bool admits = admits_program(load, state_->options.admission);
   reserved_ = true;
@@ -248,7 +248,7 @@
   }
   const turn_ledger::TurnPlace& place = result->previous_place;
   if (place.runner != 0 && state_->options.uses_turn_places) {
-    state_->prefixes.NoteBeginning(SteadyNow(), info_.prompt, place.tokens, place.runner);
+    state_->prefixes.RecordPrefix(SteadyNow(), info_.prompt, place.tokens, place.runner);
     line.Number("previous_runner", place.runner);
   }
   if (other_group_history_ != nullptr) {
--- a/src/forwarding/request_handler.cc
+++ b/src/forwarding/request_handler.cc
@@ -113,8 +113,9 @@
   // A first-byte timeout is useful only if the request may be sent to another runner.
   bool can_retry = route_->Repeatable() && sent_attempts_ + 1 < route_->max_attempts;
   if (can_retry) {
-    absl::Duration first_byte_timeout = std::max(
-        route_->target_latency * state_->options.silence_targets, state_->options.least_silence);
+    absl::Duration first_byte_timeout =
+        std::max(route_->target_latency * state_->options.first_byte_timeout_factor,
+                 state_->options.min_first_byte_timeout);
     plan.first_byte_deadline = SteadyNow() + first_byte_timeout;
   }
   return plan;
@@ -291,7 +292,7 @@
 }
 
 void RequestHandler::RecordPlacement() {
-  state_->prefixes.NoteAll(SteadyNow(), info_.prompt, last_runner_);
+  state_->prefixes.RecordAll(SteadyNow(), info_.prompt, last_runner_);
   // For stored turns the ledger provides the placement to any gateway.
   if (!info_.prompt.empty() && !route_->keeps_turns && state_->on_placement) {
     state_->on_placement(info_.prompt.back(), last_runner_);
@@ -355,7 +356,7 @@
 void RequestHandler::EndRequest(absl::string_view outcome) {
   absl::Duration took = SteadyNow() - exchange_->received_at();
   state_->metrics.CountRequest(std::string(outcome));
-  state_->metrics.Observe(Stage::kWhole, took);
+  state_->metrics.Observe(Stage::kTotal, took);
   state_->log.Write(Line("request_ended")
                         .Text("request", info_.id.value)
                         .Text("route", route_ == nullptr ? "" : route_->name)
--- a/src/forwarding/request_info.cc
+++ b/src/forwarding/request_info.cc
@@ -72,7 +72,7 @@
   std::size_t comma = usage.find(',');
   if (comma != absl::string_view::npos) {
     info.prompt_tokens = ReadNumber<std::uint32_t>(usage.substr(0, comma)).value_or(0);
-    info.most_output_tokens = ReadNumber<std::uint32_t>(usage.substr(comma + 1)).value_or(0);
+    info.max_output_tokens = ReadNumber<std::uint32_t>(usage.substr(comma + 1)).value_or(0);
   }
   info.program = ProgramId(std::string(Find(fields, names.program)));
   info.token_budget = ReadNumber<std::uint64_t>(Find(fields, names.token_budget));
--- a/src/forwarding/request_info.h
+++ b/src/forwarding/request_info.h
@@ -29,7 +29,7 @@
   std::string affinity;                    ///< Empty without an affinity cookie.
   std::vector<PromptPart> prompt;          ///< In order; the last part is the request's own.
   std::uint32_t prompt_tokens = 0;
-  std::uint32_t most_output_tokens = 0;
+  std::uint32_t max_output_tokens = 0;
   ProgramId program;                          ///< Empty for requests outside of programs.
   std::optional<std::uint64_t> token_budget;  ///< Output tokens allowed for the whole program.
   std::optional<RequestId> previous_turn;     ///< The turn that this one continues.
--- a/src/forwarding/request_runner_selection.cc
+++ b/src/forwarding/request_runner_selection.cc
@@ -22,7 +22,7 @@
 std::uint64_t RequestHandler::ConnectionShare(const ServiceName& service) const {
   const Service* found = routes_->configuration().FindService(service);
   std::uint64_t limit = found == nullptr ? 64 : found->max_connections;
-  return std::max<std::uint64_t>(4, limit / std::max<std::uint32_t>(1, state_->gateways));
+  return std::max<std::uint64_t>(4, limit / std::max<std::uint32_t>(1, state_->gateway_count));
 }
 
 std::vector<Candidate> RequestHandler::Candidates() {
@@ -31,8 +31,8 @@
   std::vector<Candidate> candidates;
   std::uint64_t share = ConnectionShare(service_name_);
   for (discovery::RunnerState* runner : state_->runners.OfService(service_name_)) {
-    bool leaving = runner->Leaving();
-    if (leaving && runner->left_at + state_->options.gone_usable < now) {
+    bool draining = runner->Leaving();
+    if (draining && runner->left_at + state_->options.max_draining_runner_use < now) {
       continue;
     }
     Candidate candidate;
@@ -40,13 +40,13 @@
     candidate.same_zone = runner->runner.zone.value == state_->zone;
     candidate.slots = runner->runner.slots;
     candidate.active = runner->Active();
-    candidate.kept_tokens = state_->prefixes.KeptTokens(now, info_.prompt, runner->short_id);
+    candidate.cached_tokens = state_->prefixes.CachedTokens(now, info_.prompt, runner->short_id);
     candidate.loss_rate = runner->losses.rate(steady_now);
-    candidate.leaving = leaving;
+    candidate.draining = draining;
     candidate.avoided = runner->avoid_until > now || runner->full_until > now;
     candidate.tried = tried_.contains(candidate.id);
-    candidate.no_connection =
-        state_->pool.Open(runner->runner.id) >= share && state_->pool.Idle(runner->runner.id) == 0;
+    candidate.at_connection_limit = state_->pool.OpenCount(runner->runner.id) >= share &&
+                                    state_->pool.IdleCount(runner->runner.id) == 0;
     candidates.push_back(std::move(candidate));
   }
   return candidates;
@@ -65,9 +65,9 @@
   ChoiceRequest request;
   request.prompt_tokens = info_.prompt_tokens;
   request.loss_ms = LossCost();
-  request.home_key = info_.prompt.empty() ? 0 : info_.prompt.front().id;
-  if (request.home_key == 0 && route_->sticky && !info_.affinity.empty()) {
-    request.home_key = StableHash(info_.affinity);
+  request.rendezvous_key = info_.prompt.empty() ? 0 : info_.prompt.front().id;
+  if (request.rendezvous_key == 0 && route_->sticky && !info_.affinity.empty()) {
+    request.rendezvous_key = StableHash(info_.affinity);
   }
   auto choice = ChooseRunner(candidates, request, state_->options.choice);
   if (!choice) {
@@ -94,7 +94,7 @@
           .Number("configuration", static_cast<std::int64_t>(routes_->configuration().version))
           .Number("candidates", static_cast<std::int64_t>(candidates.size()))
           .Number("active", chosen.active)
-          .Number("kept_tokens", chosen.kept_tokens)
+          .Number("kept_tokens", chosen.cached_tokens)
           .Number("prompt_tokens", info_.prompt_tokens)
           .Real("loss_rate", chosen.loss_rate)
           .Real("cost_ms", choice->cost_ms));
--- a/src/forwarding/request_settlement.cc
+++ b/src/forwarding/request_settlement.cc
@@ -41,8 +41,8 @@
   absl::Time start = SteadyNow();
   // The response is aborted only after the request's deadline: a commit during a leader change of
   // the ledger is confirmed a moment later.
-  absl::Time end =
-      std::max(deadline_ - state_->options.answer_margin, start + state_->options.commit_patience);
+  absl::Time end = std::max(deadline_ - state_->options.response_margin,
+                            start + state_->options.min_commit_timeout);
   auto result = co_await state_->ledger->Call(group_, settle, end);
   state_->log.Write(Line("turn_committed")
                         .Text("request", info_.id.value)
@@ -71,7 +71,7 @@
   async_http::asio::co_spawn(
       state_->context,
       [state = state_, group = group_, settle = std::move(settle)]() -> Task<void> {
-        co_await state->ledger->Call(group, settle, SteadyNow() + state->options.settle_patience);
+        co_await state->ledger->Call(group, settle, SteadyNow() + state->options.settle_timeout);
       },
       async_http::asio::detached);
 }
--- a/src/forwarding/route_table.cc
+++ b/src/forwarding/route_table.cc
@@ -40,10 +40,10 @@
   for (const WeightedService& part : route.services) {
     total += part.weight;
   }
-  double passed = 0;
+  double cumulative = 0;
   for (const WeightedService& part : route.services) {
-    passed += part.weight;
-    if (point * total < passed) {
+    cumulative += part.weight;
+    if (point * total < cumulative) {
       return part.service;
     }
   }
--- a/src/forwarding/runner_choice.h
+++ b/src/forwarding/runner_choice.h
@@ -19,13 +19,13 @@
   std::string id;
   bool same_zone = false;
   std::uint32_t slots = 1;
-  std::uint32_t active = 0;       ///< Known active requests from all gateways.
-  std::uint32_t kept_tokens = 0;  ///< Leading prompt tokens assumed to be cached.
-  double loss_rate = 0;           ///< Expected share of lost requests.
-  bool leaving = false;
-  bool avoided = false;        ///< It failed or was full recently.
-  bool tried = false;          ///< It was tried for this request.
-  bool no_connection = false;  ///< This gateway's connection share is in use.
+  std::uint32_t active = 0;         ///< Known active requests from all gateways.
+  std::uint32_t cached_tokens = 0;  ///< Leading prompt tokens assumed to be cached.
+  double loss_rate = 0;             ///< Expected share of lost requests.
+  bool draining = false;
+  bool avoided = false;              ///< It failed or was full recently.
+  bool tried = false;                ///< It was tried for this request.
+  bool at_connection_limit = false;  ///< This gateway's connection share is in use.
 };
 
 struct ChoiceOptions {
@@ -47,8 +47,8 @@
 
 /// The properties of the request that affect the choice.
 struct ChoiceRequest {
-  std::uint32_t prompt_tokens = 0;  ///< 0 for plain services.
-  std::uint64_t home_key = 0;       ///< Equal keys prefer the same runner; 0: none.
+  std::uint32_t prompt_tokens = 0;   ///< 0 for plain services.
+  std::uint64_t rendezvous_key = 0;  ///< Equal keys prefer the same runner; 0: none.
   /// Cost of losing the request: low if it can be retried at once, high if the loss fails its
   /// program.
   double loss_ms = 0;
--- a/src/forwarding/turn_cache.cc
+++ b/src/forwarding/turn_cache.cc
@@ -28,11 +28,11 @@
   by_turn_[turn] = recent_.begin();
   latest_[program] = turn;
   while (bytes_ > capacity_bytes_ && !recent_.empty()) {
-    DropOldest();
+    EvictOldest();
   }
 }
 
-void TurnCache::DropOldest() {
+void TurnCache::EvictOldest() {
   const Entry& oldest = recent_.back();
   bytes_ -= oldest.chain->size();
   by_turn_.erase(oldest.turn);
--- a/src/forwarding/turn_cache.h
+++ b/src/forwarding/turn_cache.h
@@ -32,7 +32,7 @@
     std::shared_ptr<const std::string> chain;
   };
 
-  void DropOldest();
+  void EvictOldest();
 
   std::uint64_t capacity_bytes_;
   std::uint64_t bytes_ = 0;
--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -97,7 +97,7 @@
           },
           [&state]
           {
-              state.informed.Notify();
+              state.prerequisite_changed.Notify();
           },
           state.random.NextId()),
       m_watch(settings.node)
@@ -402,7 +402,7 @@
     absl::Time noted = SteadyNow();
     for (const placement& placed : placements)
     {
-        m_state.prefixes.Note(noted, {placed.m_part, placed.m_tokens}, placed.m_runner);
+        m_state.prefixes.Record(noted, {placed.m_part, placed.m_tokens}, placed.m_runner);
     }
 }
 
@@ -462,7 +462,7 @@
     m_storage.ask(now, reads_everything(now));
     confirm_configuration();
     forget_old_loads(now);
-    m_state.gateways = std::max<std::uint32_t>(1, m_view->gateways());
+    m_state.gateway_count = std::max<std::uint32_t>(1, m_view->gateways());
     m_state.store_reachable = store_reachable();
 }
 
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -75,7 +75,7 @@
     choice.tokens_per_ms = std::numeric_limits<double>::infinity();
   }
   if (!policy.on(mechanism::silence_limit)) {
-    options.least_silence = absl::InfiniteDuration();
+    options.min_first_byte_timeout = absl::InfiniteDuration();
   }
   if (!policy.on(mechanism::chain_cache)) {
     state.turns = forwarding::TurnCache(0);
@@ -183,7 +183,7 @@
       exchange_(loop.context(), settings, store, transport_,
                 {configuration_, runners_, ledger_directory_, aggregators_}, *state_, log),
       ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }) {
-  state_->options.gone_usable = LeavingRunnerUse(settings.drain);
+  state_->options.max_draining_runner_use = LeavingRunnerUse(settings.drain);
   ApplyPolicy(settings.policy, *state_);
   ApplyKnobs(settings.knobs, *state_);
   state_->ledger = std::make_unique<turn_ledger::LedgerClient>(
@@ -193,7 +193,7 @@
       },
       LedgerOptions(settings.policy), state_->random.NextId() >> 16U);
   state_->quotas = std::make_unique<forwarding::quota_client>(
-      loop.context(), *state_->ledger, settings.quota, [this] { return state_->gateways; });
+      loop.context(), *state_->ledger, settings.quota, [this] { return state_->gateway_count; });
   state_->chains = std::make_unique<turn_ledger::chain_reader>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::chain_request& request) {
@@ -279,7 +279,7 @@
   }
   state_->lease.set_revision(change.revision);
   state_->routes = std::make_shared<forwarding::RouteTable>(std::move(*configuration));
-  state_->informed.Notify();
+  state_->prerequisite_changed.Notify();
   exchange_.confirm_configuration();
 }
 
@@ -315,13 +315,13 @@
     return;  // The entry never named one.
   }
   state_->runners.Remove(SteadyNow(), runner);
-  state_->pool.CloseAll(runner);
+  state_->pool.CloseIdleConnections(runner);
   log_.Write(Line("runner_gone").Text("runner", id));
 }
 
 void GatewayRole::ForgetEarlierLife(const discovery::RunnerId& runner) {
-  state_->pool.CloseAll(runner);
-  state_->prefixes.Forget(state_->runners.Find(runner)->short_id);
+  state_->pool.CloseIdleConnections(runner);
+  state_->prefixes.EvictRunner(state_->runners.Find(runner)->short_id);
   log_.Write(Line("runner_started_again").Text("runner", runner.value));
 }
 
@@ -371,7 +371,7 @@
                                  founders.voters.size());
   }
   state_->ledger->SetGroups(std::move(groups));
-  state_->informed.Notify();
+  state_->prerequisite_changed.Notify();
 }
 
 // ---- Peers and the ledger ----
@@ -399,7 +399,7 @@
                                       wire::Layout layout) {
   bool settlement = std::holds_alternative<turn_ledger::SettleTurn>(request.operation);
   absl::Duration patience =
-      settlement ? state_->options.commit_patience : state_->options.ledger_patience;
+      settlement ? state_->options.min_commit_timeout : state_->options.ledger_timeout;
   absl::Time deadline = SteadyNow() + patience;
   turn_ledger::CallResult result = co_await state_->ledger->Call(
       request.group, std::move(request.operation), deadline, turn_ledger::Relaying::kDirectOnly,
@@ -436,7 +436,7 @@
   if (ledger_readiness_.lost_alone() && settings_.policy.on(mechanism::relays)) {
     relays = exchange_.peers_with_ledger(kMostRelays);
   }
-  state_->relaying = !relays.empty();
+  state_->ledger_relayed = !relays.empty();
   state_->ledger->SetRelays(std::move(relays), !reaches);
   if (reaches == reaches_ledger_) {
     return;
--- a/tests/forwarding/forwarding_units_test.cc
+++ b/tests/forwarding/forwarding_units_test.cc
@@ -69,7 +69,7 @@
   EXPECT_EQ(info.prompt[1].tokens, 410U);
   EXPECT_NE(info.prompt[0].id, info.prompt[1].id);
   EXPECT_EQ(info.prompt_tokens, 1460U);
-  EXPECT_EQ(info.most_output_tokens, 80U);
+  EXPECT_EQ(info.max_output_tokens, 80U);
   EXPECT_EQ(info.token_budget, 4600U);
   EXPECT_EQ(info.previous_turn->value, "earlier");
 
@@ -84,42 +84,43 @@
   PrefixIndex index(absl::Seconds(10), 100);
   absl::Time now = absl::FromUnixSeconds(100);
   std::vector<PromptPart> prompt = {{1, 100}, {2, 50}, {3, 7}};
-  index.Note(now, {1, 100}, 5);
-  index.Note(now, {3, 100}, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 100U)
+  index.Record(now, {1, 100}, 5);
+  index.Record(now, {3, 100}, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 100U)
       << "part 2 is missing, so part 3 is not counted";
-  index.Note(now, {2, 100}, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 157U);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 6), 0U);
-  EXPECT_EQ(index.KeptTokens(now + absl::Seconds(11), prompt, 5), 0U);
+  index.Record(now, {2, 100}, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 157U);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 6), 0U);
+  EXPECT_EQ(index.CachedTokens(now + absl::Seconds(11), prompt, 5), 0U);
 }
 
 TEST(PrefixIndexTest, GrownPartIsCachedUpToTheTokensRead) {
   PrefixIndex index(absl::Seconds(10), 100);
   absl::Time now = absl::FromUnixSeconds(1000);
-  index.NoteAll(now, {{1, 2000}, {2, 700}}, 5);
-  EXPECT_EQ(index.KeptTokens(now, {{1, 2000}, {2, 1300}}, 5), 2700U);
-  EXPECT_EQ(index.KeptTokens(now, {{1, 2000}, {2, 500}}, 5), 2500U)
+  index.RecordAll(now, {{1, 2000}, {2, 700}}, 5);
+  EXPECT_EQ(index.CachedTokens(now, {{1, 2000}, {2, 1300}}, 5), 2700U);
+  EXPECT_EQ(index.CachedTokens(now, {{1, 2000}, {2, 500}}, 5), 2500U)
       << "limited to the length of the prompt";
-  EXPECT_EQ(index.KeptTokens(now, {{1, 2000}, {2, 900}, {3, 100}}, 5), 2700U);
+  EXPECT_EQ(index.CachedTokens(now, {{1, 2000}, {2, 900}, {3, 100}}, 5), 2700U);
 }
 
 TEST(PrefixIndexTest, RecordPrefixDistributesTokensOverTheParts) {
   PrefixIndex index(absl::Seconds(10), 100);
   absl::Time now = absl::FromUnixSeconds(1000);
   std::vector<PromptPart> prompt = {{1, 2000}, {2, 450}, {3, 350}};
-  index.NoteBeginning(now, prompt, 2400, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 2400U);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 6), 0U);
-  index.NoteBeginning(now, prompt, 100, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 2400U) << "an older turn doesn't shrink the entries";
+  index.RecordPrefix(now, prompt, 2400, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 2400U);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 6), 0U);
+  index.RecordPrefix(now, prompt, 100, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 2400U)
+      << "an older turn doesn't shrink the entries";
 }
 
 TEST(PrefixIndexTest, StaysWithinItsCapacity) {
   PrefixIndex index(absl::Seconds(10), 64);
   absl::Time now = absl::FromUnixSeconds(100);
   for (std::uint64_t part = 0; part < 1000; ++part) {
-    index.Note(now, {part, 10}, 1);
+    index.Record(now, {part, 10}, 1);
     ASSERT_LE(index.size(), 64U);
   }
 }
@@ -134,7 +135,7 @@
 
 TEST(RunnerChoiceTest, CachedPromptIsPreferredUntilTheRunnerIsFull) {
   std::vector<Candidate> candidates = {MakeCandidate("a"), MakeCandidate("b")};
-  candidates[0].kept_tokens = 10000;
+  candidates[0].cached_tokens = 10000;
   candidates[0].active = 3;
   ChoiceRequest request;
   request.prompt_tokens = 12000;
@@ -145,12 +146,12 @@
 
 TEST(RunnerChoiceTest, DrainingAndAvoidedRunnersAreUsedLast) {
   std::vector<Candidate> candidates = {MakeCandidate("a"), MakeCandidate("b"), MakeCandidate("c")};
-  candidates[0].leaving = true;
+  candidates[0].draining = true;
   candidates[1].avoided = true;
   candidates[1].active = 100;
   candidates[2].tried = true;
   EXPECT_EQ(ChooseRunner(candidates, {}, {})->index, 1U);
-  candidates[1].no_connection = true;
+  candidates[1].at_connection_limit = true;
   EXPECT_EQ(ChooseRunner(candidates, {}, {})->index, 0U);
   candidates[0].tried = true;
   EXPECT_FALSE(ChooseRunner(candidates, {}, {}).has_value());
@@ -163,7 +164,7 @@
   }
   ChoiceRequest request;
   request.prompt_tokens = 100;
-  request.home_key = 77;
+  request.rendezvous_key = 77;
   std::string home = candidates[ChooseRunner(candidates, request, {})->index].id;
   std::reverse(candidates.begin(), candidates.end());
   EXPECT_EQ(candidates[ChooseRunner(candidates, request, {})->index].id, home);
--- a/tests/platform/aggregator_contract_test.cc
+++ b/tests/platform/aggregator_contract_test.cc
@@ -84,7 +84,7 @@
   EXPECT_EQ(roles::LeavingRunnerUse(absl::Milliseconds(900)), absl::Milliseconds(100));
   EXPECT_EQ(roles::LeavingRunnerUse(absl::Milliseconds(500)), absl::ZeroDuration());
   PlatformWorld world;  // Its settings say 2 s.
-  EXPECT_EQ(world.gateway().state().options.gone_usable, absl::Milliseconds(1200));
+  EXPECT_EQ(world.gateway().state().options.max_draining_runner_use, absl::Milliseconds(1200));
 }
 
 TEST(AggregatorContractTest, GatewayThatTheStoreRefusesServesByWhatAggregatorsTell) {
--- a/tests/platform/gateway_contract_test.cc
+++ b/tests/platform/gateway_contract_test.cc
@@ -298,7 +298,7 @@
 std::uint32_t BelievedKept(PlatformWorld& world, const emulator::RunnerStandIn& runner) {
   const forwarding::GatewayState& state = world.gateway().state();
   auto known = world.gateway().state().runners.Find(discovery::RunnerId(runner.id()));
-  return state.prefixes.KeptTokens(SteadyNow(), {{StableHash("abc"), 100}}, known->short_id);
+  return state.prefixes.CachedTokens(SteadyNow(), {{StableHash("abc"), 100}}, known->short_id);
 }
 
 TEST(RunnerContractTest, RunnerThatStartedAgainKeepsNothingAndIsTriedAgain) {
@@ -318,11 +318,11 @@
                                          discovery::RunnerSignal::kFailed);
   }
   ASSERT_GT(known().avoid_until, SteadyNow());
-  ASSERT_GT(world.gateway().state().pool.Idle(known().runner.id), 0U);
+  ASSERT_GT(world.gateway().state().pool.IdleCount(known().runner.id), 0U);
   world.ListRunner(world.a(), "near", "ready", 2000);
   ASSERT_TRUE(world.RunUntil([&] { return known().avoid_until <= SteadyNow(); }));
   EXPECT_EQ(BelievedKept(world, world.a()), 0U);
-  EXPECT_EQ(world.gateway().state().pool.Idle(known().runner.id), 0U);
+  EXPECT_EQ(world.gateway().state().pool.IdleCount(known().runner.id), 0U);
   request.id = "attempt-2";
   EXPECT_EQ(world.Ask(request).status, 200U);
   EXPECT_EQ(world.a().runs(), 2) << "it is the near one";
