--- a/src/forwarding/quota/quota_client.h
+++ b/src/forwarding/quota/quota_client.h
@@ -1,5 +1,5 @@
-// A gateway's way to the tenants' limits: asks whoever counts the requests of a tenant, and puts requests of
-// one tenant that come together into one question.
+// Checks requests against the tenants' quotas, which are counted by the ledger groups. Concurrent requests of
+// one tenant are sent as one batch.
 #pragma once
 
 #include <chrono>
@@ -17,57 +17,57 @@
 namespace martenyard::forwarding
 {
 
-/// @brief whether a request is within its tenant's limit
+/// @brief result of a quota check
 enum class quota_verdict
 {
     granted,
     refused,
-    /// nobody answered in time
+    /// no reply before the deadline
     unknown,
 };
 
 struct quota_decision
 {
     quota_verdict m_verdict = quota_verdict::unknown;
-    /// the request may go on after this time
+    /// delay before a granted request may continue
     std::chrono::milliseconds m_wait{0};
-    /// a refused one may come back after this time
+    /// delay before a refused request may be retried
     std::chrono::milliseconds m_retry_after{0};
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class quota_client
 {
   public:
     /// @param[in] ledger  must outlive the client
-    /// @param[in] bounds  how exactly limits hold
-    /// @param[in] gateways  tells how many gateways there are
+    /// @param[in] bounds  accuracy of the rate limits
+    /// @param[in] gateway_count  returns the current number of gateways
     quota_client(async_http::asio::io_context& context, turn_ledger::LedgerClient& ledger,
-                 const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateways);
+                 const tenancy::quota_bounds& bounds, std::function<std::uint32_t()> gateway_count);
 
-    /// @brief asks whether one request of a tenant may go on
-    /// @param[in] version  of the configuration that has the tenant
-    /// @param[in] program  a hash of the program's id, 0 outside programs
+    /// @brief checks one request against the quota of its tenant
+    /// @param[in] version  version of the configuration that `tenant` is from
+    /// @param[in] program  hash of the program id, 0 for requests outside of programs
     async_http::Task<quota_decision> admit(const tenancy::tenant& tenant, std::uint64_t version,
                                            std::uint64_t program, absl::Time deadline);
 
-    /// @return decisions by this gateway's own share of a limit
-    std::uint64_t own_decisions() const
+    /// @return number of decisions by the local limiter
+    std::uint64_t local_decisions() const
     {
-        return m_own_decisions;
+        return m_local_decisions;
     }
 
-    /// @return questions asked since the start
-    std::uint64_t questions() const
+    /// @return number of batches sent to the ledger
+    std::uint64_t batches_sent() const
     {
-        return m_questions;
+        return m_batches_sent;
     }
 
   private:
-    /// A request that waits for its decision.
-    struct waiting
+    /// a request that waits for its decision
+    struct pending_request
     {
-        explicit waiting(async_http::asio::io_context& context) : m_decided(context)
+        explicit pending_request(async_http::asio::io_context& context) : m_decided(context)
         {
         }
         async_http::Signal m_decided;
@@ -77,31 +77,30 @@
         quota_decision m_decision;
     };
 
-    /// Of one tenant.
-    struct queue
+    /// the pending requests of one tenant
+    struct tenant_queue
     {
         tenancy::rate_limit m_limit;
         std::uint64_t m_version = 0;
-        std::deque<std::shared_ptr<waiting>> m_waiting;
-        bool m_asking = false;
+        std::deque<std::shared_ptr<pending_request>> m_pending;
+        bool m_sending = false;
     };
 
-    async_http::Task<void> ask(std::string tenant);
-    async_http::Task<void> ask_once(std::string tenant);
+    async_http::Task<void> send_batches(std::string tenant);
+    async_http::Task<void> send_batch(std::string tenant);
 
-    /// @brief decides by this gateway's share of the limit: nobody counts for all gateways while a ledger
-    ///        leads whose build has no limits
-    tenancy::quota_answer take_own_share(tenancy::quota_request request);
+    /// @brief decides by this gateway's share of the limit, for ledger leaders of builds without quotas
+    tenancy::quota_answer decide_locally(tenancy::quota_request request);
 
     async_http::asio::io_context& m_context;
     turn_ledger::LedgerClient& m_ledger;
-    std::function<std::uint32_t()> m_gateways;
+    std::function<std::uint32_t()> m_gateway_count;
     std::chrono::milliseconds m_window;
-    tenancy::rate_limiter m_own_share;
-    tenancy::instant m_own_used;
-    std::uint64_t m_own_decisions = 0;
-    absl::flat_hash_map<std::string, std::unique_ptr<queue>> m_queues;
-    std::uint64_t m_questions = 0;
+    tenancy::rate_limiter m_local_limiter;
+    tenancy::instant m_local_last_used;
+    std::uint64_t m_local_decisions = 0;
+    absl::flat_hash_map<std::string, std::unique_ptr<tenant_queue>> m_queues;
+    std::uint64_t m_batches_sent = 0;
 };
 
 }  // namespace martenyard::forwarding
--- /dev/null
+++ b/src/forwarding/request_handler.h
@@ -0,0 +1,139 @@
+// Handles one client request: admission, runner selection, attempts, response and settlement.
+#pragma once
+
+#include <memory>
+#include <optional>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "async_http/server.h"
+#include "forwarding/admission/program_admission.h"
+#include "forwarding/attempt.h"
+#include "forwarding/gateway_state.h"
+#include "forwarding/history/history_fetch.h"
+#include "forwarding/streams/delivered_events.h"
+#include "forwarding/streams/stream_forwarder.h"
+
+namespace martenyard::forwarding {
+
+class RequestHandler {
+ public:
+  RequestHandler(std::shared_ptr<GatewayState> state,
+                 std::shared_ptr<async_http::Exchange> exchange);
+
+  /// Handles the request until the response is sent or the client has disconnected.
+  async_http::Task<void> Run();
+
+ private:
+  /// State that is not available immediately after the start of the process.
+  enum class Prerequisite { kRoutes, kLedgerGroups, kLease };
+  bool IsAvailable(Prerequisite prerequisite) const;
+  /// Waits until `prerequisite` is available, for at most the start-up timeout or a quarter of the
+  /// request's time.
+  async_http::Task<void> WaitFor(Prerequisite prerequisite);
+  /// Finds the route. @return false if it sent an error.
+  async_http::Task<bool> FindRoute();
+  /// Checks the API key and sets the tenant. @return false if it sent an error.
+  async_http::Task<bool> CheckKey();
+  /// Counts the request against its tenant's quota. @return false if it sent an error.
+  async_http::Task<bool> CheckQuota();
+  /// @return whether the API key is still valid in the current configuration.
+  bool KeyStillValid() const;
+  /// Sends 503 to a request whose API key can't be verified without a valid configuration lease.
+  async_http::Task<void> RefuseWithoutLease(absl::string_view reason);
+  /// Ends a request whose API key became invalid or unverifiable after admission.
+  async_http::Task<void> RejectRevokedKey();
+  /// Scopes the ids chosen by the client to its tenant.
+  void ScopeIds();
+  /// Reserves the turn's tokens and loads its history. @return false if it sent an error.
+  async_http::Task<bool> AdmitTurn();
+  /// Reserves in the program's group. If the previous turn is unknown there, searches the other
+  /// groups for it.
+  async_http::Task<turn_ledger::CallResult> Reserve(turn_ledger::ReserveTurn reserve,
+                                                    absl::Time ledger_deadline,
+                                                    turn_ledger::Programs programs);
+  /// Handles the ledger's verdict. @return false if it sent an error.
+  async_http::Task<bool> HandleVerdict(const turn_ledger::CallResult& result,
+                                       event_log::Line& line);
+  engine_load EngineLoad() const;
+  /// @return the Retry-After time of a refused new program.
+  absl::Duration ProgramRetryDelay() const;
+  /// Reserves with the history of a previous turn that another group has.
+  async_http::Task<turn_ledger::CallResult> ReserveAfterOtherGroupsTurn(
+      turn_ledger::ReserveTurn reserve, absl::Time ledger_deadline);
+  /// Waits for the history and prepends it to the body. @return false if it sent an error.
+  async_http::Task<bool> LoadHistory(history_fetch& fetch, turn_ledger::ReserveTurn reserve,
+                                     absl::Time ledger_deadline, event_log::Line& line);
+  /// Prepends the history to the request body.
+  void PrependHistory(std::shared_ptr<const std::string> history);
+  /// Caches a history that came with the leader's verdict and prepends it to the body.
+  void UseLeaderHistory(std::string history, event_log::Line& line);
+  async_http::Task<void> TryRunners();
+  std::optional<discovery::Runner> Choose();
+  std::vector<Candidate> Candidates();
+  /// @return the cost, in milliseconds, of losing this request at a runner.
+  double LossCost() const;
+  AttemptPlan MakePlan(const discovery::Runner& runner);
+  std::string RequestHead(const discovery::Runner& runner) const;
+  /// @return the priority rank sent to engines; 0 is the most urgent.
+  int PriorityRank() const;
+  async_http::Task<AttemptResult> RunAttempt(const discovery::Runner& runner,
+                                             stream_forwarder& forwarder);
+  void RecordResult(const discovery::Runner& runner, const AttemptResult& result);
+  void LogAttempt(const discovery::Runner& runner, const AttemptResult& result,
+                  const stream_forwarder& forwarder, absl::Time start);
+  /// Records in the runner's failure statistics whether it lost the request.
+  void RecordRunnerOutcome(const discovery::Runner& runner, const AttemptResult& result);
+  /// Records that the runner has cached the prompt.
+  void RecordPlacement();
+  RetryState CurrentRetryState() const;
+  async_http::Task<void> ForwardResponse(AttemptResult& result, stream_forwarder& forwarder);
+  async_http::Task<void> FinishStream(stream_forwarder& forwarder);
+  std::uint32_t RetentionMilliseconds() const;
+  /// @return the ledger operation that settles the turn with `tokens` tokens.
+  turn_ledger::SettleTurn Settlement(std::uint64_t tokens) const;
+  /// Commits the turn to the ledger. @return false when the commit is not confirmed.
+  async_http::Task<bool> CommitTurn();
+  void SettleInBackground(std::uint64_t tokens);
+  async_http::Task<void> SendError(unsigned status, absl::string_view reason,
+                                   std::optional<absl::Duration> retry_after);
+  async_http::Task<void> Refuse(absl::string_view reason);
+  void EndRequest(absl::string_view outcome);
+  absl::Duration TimeLeft() const;
+  std::uint64_t TokensDelivered() const;
+  std::uint64_t ConnectionShare(const ServiceName& service) const;
+
+  std::shared_ptr<GatewayState> state_;
+  std::shared_ptr<async_http::Exchange> exchange_;
+  std::shared_ptr<const RouteTable> routes_;
+  const Route* route_ = nullptr;
+  const Service* service_ = nullptr;
+  const tenancy::tenant* tenant_ = nullptr;  // Owned by `routes_`; null without an API key.
+  ServiceName service_name_;
+  RequestInfo info_;
+  // The client's ids, scoped to the tenant.
+  turn_ledger::TurnId turn_;
+  ProgramId program_;
+  std::optional<RequestId> previous_turn_;
+  absl::Time deadline_;
+  std::shared_ptr<const std::string> body_;
+
+  bool reserved_ = false;
+  bool settled_ = false;
+  GroupId group_;                                           // Ledger group of the program.
+  std::shared_ptr<const std::string> history_;              // Chain of the previous turns.
+  std::shared_ptr<const std::string> other_group_history_;  // The same, of another program.
+
+  std::set<std::string> tried_;
+  int sent_attempts_ = 0;  // Attempts that sent the request, except to a wrong runner.
+  bool may_have_run_ = false;
+  Attempt* attempt_ = nullptr;
+  delivered_events delivered_;  // Over all attempts.
+  std::string last_detail_;
+  Choice last_choice_;
+  std::uint32_t last_runner_ = 0;  // Short id.
+  std::string head_runner_;  // Runner whose response head the client got; empty for own responses.
+};
+
+}  // namespace martenyard::forwarding
--- a/src/forwarding/request_choice.cc
+++ b/src/forwarding/request_runner_selection.cc
@@ -1,10 +1,10 @@
-// RequestRun's choice of a runner: what is known of each, and what its loss would cost.
+// Runner selection of RequestHandler: collects the candidates and their costs.
 #include <algorithm>
 #include <utility>
 
 #include "base/clock.h"
 #include "base/hash.h"
-#include "forwarding/request_run.h"
+#include "forwarding/request_handler.h"
 
 namespace martenyard::forwarding {
 
@@ -12,27 +12,27 @@
 
 namespace {
 
-/// Engines know the ranks 0 to 9. A tenant's priority comes before its routes', of which three are
-/// told apart.
+/// Engines accept the ranks 0 to 9. Requests are ranked by tenant priority first, then by one of
+/// three route priorities.
 constexpr int kRoutePriorities = 3;
 constexpr int kLastPriority = 9;
 
 }  // namespace
 
-std::uint64_t RequestRun::ConnectionShare(const ServiceName& service) const {
+std::uint64_t RequestHandler::ConnectionShare(const ServiceName& service) const {
   const Service* found = routes_->configuration().FindService(service);
-  std::uint64_t most = found == nullptr ? 64 : found->max_connections;
-  return std::max<std::uint64_t>(4, most / std::max<std::uint32_t>(1, state_->gateways));
+  std::uint64_t limit = found == nullptr ? 64 : found->max_connections;
+  return std::max<std::uint64_t>(4, limit / std::max<std::uint32_t>(1, state_->gateway_count));
 }
 
-std::vector<Candidate> RequestRun::Candidates() {
+std::vector<Candidate> RequestHandler::Candidates() {
   absl::Time now = SteadyNow();
   auto steady_now = std::chrono::steady_clock::now();
   std::vector<Candidate> candidates;
   std::uint64_t share = ConnectionShare(service_name_);
   for (discovery::RunnerState* runner : state_->runners.OfService(service_name_)) {
-    bool leaving = runner->Leaving();
-    if (leaving && runner->left_at + state_->options.gone_usable < now) {
+    bool draining = runner->Leaving();
+    if (draining && runner->left_at + state_->options.max_draining_runner_use < now) {
       continue;
     }
     Candidate candidate;
@@ -40,19 +40,19 @@
     candidate.same_zone = runner->runner.zone.value == state_->zone;
     candidate.slots = runner->runner.slots;
     candidate.active = runner->Active();
-    candidate.kept_tokens = state_->prefixes.KeptTokens(now, info_.prompt, runner->short_id);
+    candidate.cached_tokens = state_->prefixes.CachedTokens(now, info_.prompt, runner->short_id);
     candidate.loss_rate = runner->losses.rate(steady_now);
-    candidate.leaving = leaving;
+    candidate.draining = draining;
     candidate.avoided = runner->avoid_until > now || runner->full_until > now;
     candidate.tried = tried_.contains(candidate.id);
-    candidate.no_connection =
-        state_->pool.Open(runner->runner.id) >= share && state_->pool.Idle(runner->runner.id) == 0;
+    candidate.at_connection_limit = state_->pool.OpenCount(runner->runner.id) >= share &&
+                                    state_->pool.IdleCount(runner->runner.id) == 0;
     candidates.push_back(std::move(candidate));
   }
   return candidates;
 }
 
-double RequestRun::LossCost() const {
+double RequestHandler::LossCost() const {
   const ChoiceOptions& options = state_->options.choice;
   if (route_->Repeatable()) {
     return options.repeatable_loss_ms;
@@ -60,18 +60,18 @@
   return route_->kind == RouteKind::kStream ? options.turn_loss_ms : options.call_loss_ms;
 }
 
-std::optional<discovery::Runner> RequestRun::Choose() {
+std::optional<discovery::Runner> RequestHandler::Choose() {
   std::vector<Candidate> candidates = Candidates();
   ChoiceRequest request;
   request.prompt_tokens = info_.prompt_tokens;
   request.loss_ms = LossCost();
-  request.home_key = info_.prompt.empty() ? 0 : info_.prompt.front().id;
-  if (request.home_key == 0 && route_->sticky && !info_.affinity.empty()) {
-    request.home_key = StableHash(info_.affinity);
+  request.rendezvous_key = info_.prompt.empty() ? 0 : info_.prompt.front().id;
+  if (request.rendezvous_key == 0 && route_->sticky && !info_.affinity.empty()) {
+    request.rendezvous_key = StableHash(info_.affinity);
   }
   auto choice = ChooseRunner(candidates, request, state_->options.choice);
   if (!choice) {
-    // Another part of a split route may have one.
+    // Try the other services of a split route.
     for (const WeightedService& part : route_->services) {
       if (choice || part.service == service_name_) {
         continue;
@@ -94,14 +94,14 @@
           .Number("configuration", static_cast<std::int64_t>(routes_->configuration().version))
           .Number("candidates", static_cast<std::int64_t>(candidates.size()))
           .Number("active", chosen.active)
-          .Number("kept_tokens", chosen.kept_tokens)
+          .Number("kept_tokens", chosen.cached_tokens)
           .Number("prompt_tokens", info_.prompt_tokens)
           .Real("loss_rate", chosen.loss_rate)
           .Real("cost_ms", choice->cost_ms));
   return runner->runner;
 }
 
-int RequestRun::PriorityRank() const {
+int RequestHandler::PriorityRank() const {
   int tenant_rank = tenant_ == nullptr ? 0 : tenant_->m_priority;
   return std::clamp(tenant_rank * kRoutePriorities + route_->priority, 0, kLastPriority);
 }
--- a/tests/forwarding/forwarding_units_test.cc
+++ b/tests/forwarding/forwarding_units_test.cc
@@ -1,4 +1,4 @@
-// The pure parts of forwarding: routes, request headers, event streams, choices and outcomes.
+// Routes, request headers, prefix index, runner choice, attempt outcomes and turn cache.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -51,7 +51,7 @@
   RC_ASSERT(std::abs(share - static_cast<double>(first) / (first + second)) < 0.01);
 }
 
-TEST(RequestInfoTest, ReadsEveryHeaderAndPassesOverUnreadableOnes) {
+TEST(RequestInfoTest, ReadsAllHeadersAndIgnoresMalformedOnes) {
   HeaderNames names;
   boost::beast::http::fields fields;
   fields.set(names.request_id, "abc");
@@ -69,7 +69,7 @@
   EXPECT_EQ(info.prompt[1].tokens, 410U);
   EXPECT_NE(info.prompt[0].id, info.prompt[1].id);
   EXPECT_EQ(info.prompt_tokens, 1460U);
-  EXPECT_EQ(info.most_output_tokens, 80U);
+  EXPECT_EQ(info.max_output_tokens, 80U);
   EXPECT_EQ(info.token_budget, 4600U);
   EXPECT_EQ(info.previous_turn->value, "earlier");
 
@@ -80,44 +80,47 @@
   EXPECT_FALSE(info.token_budget.has_value());
 }
 
-TEST(PrefixIndexTest, CountsLeadingPartsOnlyAndForgets) {
+TEST(PrefixIndexTest, CountsOnlyLeadingPartsAndExpires) {
   PrefixIndex index(absl::Seconds(10), 100);
   absl::Time now = absl::FromUnixSeconds(100);
   std::vector<PromptPart> prompt = {{1, 100}, {2, 50}, {3, 7}};
-  index.Note(now, {1, 100}, 5);
-  index.Note(now, {3, 100}, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 100U) << "part 2 is missing: part 3 is of no use";
-  index.Note(now, {2, 100}, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 157U);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 6), 0U);
-  EXPECT_EQ(index.KeptTokens(now + absl::Seconds(11), prompt, 5), 0U);
+  index.Record(now, {1, 100}, 5);
+  index.Record(now, {3, 100}, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 100U)
+      << "part 2 is missing, so part 3 is not counted";
+  index.Record(now, {2, 100}, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 157U);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 6), 0U);
+  EXPECT_EQ(index.CachedTokens(now + absl::Seconds(11), prompt, 5), 0U);
 }
 
-TEST(PrefixIndexTest, PieceThatHasGrownIsKeptAsFarAsItWasRead) {
+TEST(PrefixIndexTest, GrownPartIsCachedUpToTheTokensRead) {
   PrefixIndex index(absl::Seconds(10), 100);
   absl::Time now = absl::FromUnixSeconds(1000);
-  index.NoteAll(now, {{1, 2000}, {2, 700}}, 5);
-  EXPECT_EQ(index.KeptTokens(now, {{1, 2000}, {2, 1300}}, 5), 2700U);
-  EXPECT_EQ(index.KeptTokens(now, {{1, 2000}, {2, 500}}, 5), 2500U) << "no more than is asked for";
-  EXPECT_EQ(index.KeptTokens(now, {{1, 2000}, {2, 900}, {3, 100}}, 5), 2700U);
+  index.RecordAll(now, {{1, 2000}, {2, 700}}, 5);
+  EXPECT_EQ(index.CachedTokens(now, {{1, 2000}, {2, 1300}}, 5), 2700U);
+  EXPECT_EQ(index.CachedTokens(now, {{1, 2000}, {2, 500}}, 5), 2500U)
+      << "limited to the length of the prompt";
+  EXPECT_EQ(index.CachedTokens(now, {{1, 2000}, {2, 900}, {3, 100}}, 5), 2700U);
 }
 
-TEST(PrefixIndexTest, BeginningThatTheLedgerTellsOfIsSpreadOverThePieces) {
+TEST(PrefixIndexTest, RecordPrefixDistributesTokensOverTheParts) {
   PrefixIndex index(absl::Seconds(10), 100);
   absl::Time now = absl::FromUnixSeconds(1000);
   std::vector<PromptPart> prompt = {{1, 2000}, {2, 450}, {3, 350}};
-  index.NoteBeginning(now, prompt, 2400, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 2400U);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 6), 0U);
-  index.NoteBeginning(now, prompt, 100, 5);
-  EXPECT_EQ(index.KeptTokens(now, prompt, 5), 2400U) << "an older turn takes nothing back";
+  index.RecordPrefix(now, prompt, 2400, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 2400U);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 6), 0U);
+  index.RecordPrefix(now, prompt, 100, 5);
+  EXPECT_EQ(index.CachedTokens(now, prompt, 5), 2400U)
+      << "an older turn doesn't shrink the entries";
 }
 
 TEST(PrefixIndexTest, StaysWithinItsCapacity) {
   PrefixIndex index(absl::Seconds(10), 64);
   absl::Time now = absl::FromUnixSeconds(100);
   for (std::uint64_t part = 0; part < 1000; ++part) {
-    index.Note(now, {part, 10}, 1);
+    index.Record(now, {part, 10}, 1);
     ASSERT_LE(index.size(), 64U);
   }
 }
@@ -130,9 +133,9 @@
   return candidate;
 }
 
-TEST(RunnerChoiceTest, KeptPromptsDrawUntilTheRunnerIsFull) {
+TEST(RunnerChoiceTest, CachedPromptIsPreferredUntilTheRunnerIsFull) {
   std::vector<Candidate> candidates = {MakeCandidate("a"), MakeCandidate("b")};
-  candidates[0].kept_tokens = 10000;
+  candidates[0].cached_tokens = 10000;
   candidates[0].active = 3;
   ChoiceRequest request;
   request.prompt_tokens = 12000;
@@ -141,27 +144,27 @@
   EXPECT_EQ(ChooseRunner(candidates, request, {})->index, 1U);
 }
 
-TEST(RunnerChoiceTest, LeavingAndAvoidedOnesOnlyWhenThereIsNoOther) {
+TEST(RunnerChoiceTest, DrainingAndAvoidedRunnersAreUsedLast) {
   std::vector<Candidate> candidates = {MakeCandidate("a"), MakeCandidate("b"), MakeCandidate("c")};
-  candidates[0].leaving = true;
+  candidates[0].draining = true;
   candidates[1].avoided = true;
   candidates[1].active = 100;
   candidates[2].tried = true;
   EXPECT_EQ(ChooseRunner(candidates, {}, {})->index, 1U);
-  candidates[1].no_connection = true;
+  candidates[1].at_connection_limit = true;
   EXPECT_EQ(ChooseRunner(candidates, {}, {})->index, 0U);
   candidates[0].tried = true;
   EXPECT_FALSE(ChooseRunner(candidates, {}, {}).has_value());
 }
 
-TEST(RunnerChoiceTest, GatewaysAgreeOnTheHomeOfAnUnknownPrompt) {
+TEST(RunnerChoiceTest, UncachedPromptPrefersTheSameRunnerOnAllGateways) {
   std::vector<Candidate> candidates;
   for (int number = 0; number < 6; ++number) {
     candidates.push_back(MakeCandidate("runner-" + std::to_string(number)));
   }
   ChoiceRequest request;
   request.prompt_tokens = 100;
-  request.home_key = 77;
+  request.rendezvous_key = 77;
   std::string home = candidates[ChooseRunner(candidates, request, {})->index].id;
   std::reverse(candidates.begin(), candidates.end());
   EXPECT_EQ(candidates[ChooseRunner(candidates, request, {})->index].id, home);
@@ -169,10 +172,10 @@
 
 struct OutcomeCase {
   const char* name;
-  AttemptEnd end;
+  AttemptOutcome end;
   bool repeatable;
   bool can_resume;
-  bool answer_started;
+  bool response_started;
   bool may_have_run;
   int attempts_left;
   int time_left_ms;
@@ -181,59 +184,59 @@
 
 class AttemptOutcomeTest : public ::testing::TestWithParam<OutcomeCase> {};
 
-TEST_P(AttemptOutcomeTest, DecidesAsTheTableSays) {
+TEST_P(AttemptOutcomeTest, DecidesTheNextStep) {
   const OutcomeCase& test = GetParam();
-  RequestSituation situation{test.repeatable,     test.can_resume,
-                             test.answer_started, test.may_have_run,
-                             test.attempts_left,  absl::Milliseconds(test.time_left_ms)};
-  EXPECT_EQ(DecideNextStep(test.end, situation), test.expected);
+  RetryState retry_state{test.repeatable,       test.can_resume,
+                         test.response_started, test.may_have_run,
+                         test.attempts_left,    absl::Milliseconds(test.time_left_ms)};
+  EXPECT_EQ(DecideNextStep(test.end, retry_state), test.expected);
 }
 
 constexpr OutcomeCase kOutcomes[] = {
     // clang-format off
     // name                       end                       rep.   resume started ran   left ms   then
-    {"NotSentGoesElsewhere",      AttemptEnd::kNotSent,     false, false, false, false, 1, 900, NextStep::kTryAnother},
-    {"NotSentLastIsRefused",      AttemptEnd::kNotSent,     false, false, false, false, 0, 900, NextStep::kRefuse},
-    {"NotRunGoesElsewhere",       AttemptEnd::kNotRun,      false, false, false, false, 1, 900, NextStep::kTryAnother},
-    {"NotRunTooLateIsRefused",    AttemptEnd::kNotRun,      true,  false, false, false, 1, 5,   NextStep::kRefuse},
-    {"NotRunAfterARunIsNoRefusal",AttemptEnd::kNotRun,      true,  false, false, true,  0, 900, NextStep::kFail},
-    {"NotSentAfterARunIsNoRefusal",AttemptEnd::kNotSent,    true,  false, false, true,  0, 900, NextStep::kFail},
-    {"LostUnsafeNeverRepeats",    AttemptEnd::kNoAnswer,    false, false, false, true,  3, 900, NextStep::kFail},
-    {"LostSafeRepeats",           AttemptEnd::kNoAnswer,    true,  false, false, true,  1, 900, NextStep::kTryAnother},
-    {"LostSafeWithoutAttempts",   AttemptEnd::kNoAnswer,    true,  false, false, true,  0, 900, NextStep::kFail},
-    {"LostSafeTooLate",           AttemptEnd::kNoAnswer,    true,  false, false, true,  1, 5,   NextStep::kFail},
-    {"BrokenStreamBreaks",        AttemptEnd::kBrokeOff,    false, false, true,  true,  1, 900, NextStep::kBreak},
-    {"BrokenStreamResumes",       AttemptEnd::kBrokeOff,    true,  true,  true,  true,  1, 900, NextStep::kResume},
-    {"BrokenStreamNoAttempts",    AttemptEnd::kBrokeOff,    true,  true,  true,  true,  0, 900, NextStep::kBreak},
-    {"BrokenBeforeFirstEvent",    AttemptEnd::kBrokeOff,    true,  false, false, true,  1, 900, NextStep::kTryAnother},
-    {"BrokenUnsafeBeforeEvent",   AttemptEnd::kBrokeOff,    false, false, false, true,  1, 900, NextStep::kFail},
-    {"ResumeTurnedAwayResumes",   AttemptEnd::kNotRun,      true,  true,  true,  true,  1, 900, NextStep::kResume},
-    {"ResumeTurnedAwayBreaks",    AttemptEnd::kNotRun,      true,  true,  true,  true,  0, 900, NextStep::kBreak},
-    {"TimeOverIs504",             AttemptEnd::kTimedOut,    true,  false, false, true,  1, 0,   NextStep::kTimeOut},
-    {"TimeOverMidStreamBreaks",   AttemptEnd::kTimedOut,    true,  true,  true,  true,  1, 0,   NextStep::kBreak},
-    {"WholeAnswerPasses",         AttemptEnd::kAnswered,    false, false, false, true,  0, 0,   NextStep::kPassOn},
-    {"ClientGoneEnds",            AttemptEnd::kClientGone,  true,  true,  true,  true,  1, 900, NextStep::kNothing},
+    {"NotSentIsRetried",      AttemptOutcome::kNotSent,     false, false, false, false, 1, 900, NextStep::kRetry},
+    {"NotSentWithoutAttemptsIsRefused",      AttemptOutcome::kNotSent,     false, false, false, false, 0, 900, NextStep::kRefuse},
+    {"NotRunIsRetried",       AttemptOutcome::kNotRun,      false, false, false, false, 1, 900, NextStep::kRetry},
+    {"NotRunTooLateIsRefused",    AttemptOutcome::kNotRun,      true,  false, false, false, 1, 5,   NextStep::kRefuse},
+    {"NotRunAfterEarlierRunFails",AttemptOutcome::kNotRun,      true,  false, false, true,  0, 900, NextStep::kFail},
+    {"NotSentAfterEarlierRunFails",AttemptOutcome::kNotSent,    true,  false, false, true,  0, 900, NextStep::kFail},
+    {"LostNonRepeatableFails",    AttemptOutcome::kNoResponse,    false, false, false, true,  3, 900, NextStep::kFail},
+    {"LostRepeatableIsRetried",           AttemptOutcome::kNoResponse,    true,  false, false, true,  1, 900, NextStep::kRetry},
+    {"LostRepeatableWithoutAttemptsFails",   AttemptOutcome::kNoResponse,    true,  false, false, true,  0, 900, NextStep::kFail},
+    {"LostRepeatableTooLateFails",           AttemptOutcome::kNoResponse,    true,  false, false, true,  1, 5,   NextStep::kFail},
+    {"TruncatedStreamIsAborted",        AttemptOutcome::kTruncated,    false, false, true,  true,  1, 900, NextStep::kAbort},
+    {"TruncatedStreamIsResumed",       AttemptOutcome::kTruncated,    true,  true,  true,  true,  1, 900, NextStep::kResume},
+    {"TruncatedStreamWithoutAttemptsIsAborted",    AttemptOutcome::kTruncated,    true,  true,  true,  true,  0, 900, NextStep::kAbort},
+    {"TruncatedBeforeFirstEventIsRetried",    AttemptOutcome::kTruncated,    true,  false, false, true,  1, 900, NextStep::kRetry},
+    {"TruncatedNonRepeatableFails",   AttemptOutcome::kTruncated,    false, false, false, true,  1, 900, NextStep::kFail},
+    {"RejectedResumptionIsResumedElsewhere",   AttemptOutcome::kNotRun,      true,  true,  true,  true,  1, 900, NextStep::kResume},
+    {"RejectedResumptionWithoutAttemptsIsAborted",    AttemptOutcome::kNotRun,      true,  true,  true,  true,  0, 900, NextStep::kAbort},
+    {"DeadlinePassedTimesOut",             AttemptOutcome::kTimedOut,    true,  false, false, true,  1, 0,   NextStep::kTimeOut},
+    {"DeadlinePassedMidStreamIsAborted",   AttemptOutcome::kTimedOut,    true,  true,  true,  true,  1, 0,   NextStep::kAbort},
+    {"CompletedIsForwarded",         AttemptOutcome::kCompleted,    false, false, false, true,  0, 0,   NextStep::kForward},
+    {"ClientGoneDoesNothing",            AttemptOutcome::kClientGone,  true,  true,  true,  true,  1, 900, NextStep::kNone},
     // clang-format on
 };
 
 INSTANTIATE_TEST_SUITE_P(Table, AttemptOutcomeTest, ::testing::ValuesIn(kOutcomes),
                          [](const auto& info) { return std::string(info.param.name); });
 
-TEST(AttemptOutcomeOfStreamsTest, WholeAnswerBehindAStreamThatBeganIsABreak) {
-  RequestSituation situation;
-  situation.answer_started = true;
-  situation.may_have_run = true;
-  situation.time_left = absl::Milliseconds(900);
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kBreak);
-  situation.attempts_left = 1;
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kBreak);
-  situation.can_resume = true;
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kResume);
-  situation.streamed = true;
-  EXPECT_EQ(DecideNextStep(AttemptEnd::kAnswered, situation), NextStep::kPassOn);
+TEST(AttemptOutcomeOfStreamsTest, BufferedResponseAfterStreamStartIsNotForwarded) {
+  RetryState retry_state;
+  retry_state.response_started = true;
+  retry_state.may_have_run = true;
+  retry_state.time_left = absl::Milliseconds(900);
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kAbort);
+  retry_state.attempts_left = 1;
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kAbort);
+  retry_state.can_resume = true;
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kResume);
+  retry_state.streamed = true;
+  EXPECT_EQ(DecideNextStep(AttemptOutcome::kCompleted, retry_state), NextStep::kForward);
 }
 
-TEST(TurnCacheTest, KeepsTheLatestWithinItsBytes) {
+TEST(TurnCacheTest, EvictsLeastRecentlyUsedBeyondCapacity) {
   TurnCache cache(100);
   auto chain = std::make_shared<std::string>(std::string(40, 'x'));
   const ProgramId program("p");
@@ -242,8 +245,9 @@
   EXPECT_EQ(cache.LatestOf(program), RequestId("b"));
   ASSERT_NE(cache.Find(RequestId("a")), nullptr);
   cache.Put(ProgramId("q"), RequestId("c"), chain);
-  EXPECT_EQ(cache.LatestOf(program), std::nullopt) << "its chain is gone";
-  EXPECT_EQ(cache.Find(RequestId("b")), nullptr) << "the least recently used goes first";
+  EXPECT_EQ(cache.LatestOf(program), std::nullopt) << "its chain was evicted";
+  EXPECT_EQ(cache.Find(RequestId("b")), nullptr)
+      << "the least recently used entry is evicted first";
   EXPECT_NE(cache.Find(RequestId("a")), nullptr);
   EXPECT_LE(cache.bytes(), 100U);
 }
