--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -400,7 +400,7 @@
   std::uint64_t used = allocated_bytes();
   bool full = memory_.judge(used);
   for (auto& [group, replica] : replicas_) {
-    replica->SetDiskFull(full);
+    replica->SetMemoryFull(full);
   }
   if (full != was_full) {
     log_.Write(Line(full ? "memory_full" : "memory_free")
--- a/src/turn_ledger/groups/group_layout.h
+++ b/src/turn_ledger/groups/group_layout.h
@@ -23,7 +23,7 @@
 
 /// @param[in] machines  all storage machines, in the same order for all callers
 /// @param[in] replicas  number of voters in each group
-/// @return the groups to create; the voters of a group are in different zones if possible
+/// @return the groups to create; the voters of a group are spread over the zones
 group_layout layout_groups(const std::vector<Machine>& machines, std::size_t replicas);
 
 /// @return the group that stores the program's account and turns
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -126,7 +126,8 @@
     return;  // A retry of a pending request: one log entry serves both.
   }
   bool settlement = std::holds_alternative<SettleTurn>(request.operation);
-  if (proposals_.size() >= options_.max_pending || (!settlement && (disk_full_ || Overloaded()))) {
+  if (proposals_.size() >= options_.max_pending ||
+      (!settlement && (memory_full_ || Overloaded()))) {
     Reply(requester, ReplyStatus::kOverloaded);
     return;
   }
--- a/src/turn_ledger/turn_replica.h
+++ b/src/turn_ledger/turn_replica.h
@@ -81,9 +81,9 @@
   void OnMachineDown(absl::Time now, NodeId identity);
   /// Sets the machines that the operator is retiring.
   void SetRetiring(std::vector<std::string> names) { retiring_ = std::move(names); }
-  /// While the disk is full, a leader refuses reservations. It accepts settlements, which release
-  /// reserved tokens.
-  void SetDiskFull(bool disk_full) { disk_full_ = disk_full; }
+  /// While the machine's memory is full, a leader refuses reservations. It accepts settlements,
+  /// which release reserved tokens.
+  void SetMemoryFull(bool memory_full) { memory_full_ = memory_full; }
   /// Before a planned stop: transfers leadership to the most up-to-date reachable voter, if this
   /// replica leads.
   void TransferLeadership();
@@ -182,7 +182,7 @@
   std::map<NodeId, snapshot_transfer> transfers_;          // To other members, while leading.
   std::vector<consensus::LogIndex> unreferenced_entries_;  // To be deleted from disk.
   std::uint64_t incomplete_snapshots_ = 0;
-  bool disk_full_ = false;
+  bool memory_full_ = false;
   std::optional<consensus::LogIndex> unreadable_index_;
 
   std::map<NodeId, Machine> machines_;
--- a/tests/turn_ledger/turn_replica_test.cc
+++ b/tests/turn_ledger/turn_replica_test.cc
@@ -152,15 +152,15 @@
   EXPECT_EQ(reply.m_text, std::string(kTurnBytes, 'x'));
 }
 
-TEST_F(TurnReplicaTest, FullDiskRefusesReservationsAndAcceptsSettlements) {
-  replica_->SetDiskFull(true);
+TEST_F(TurnReplicaTest, FullMemoryRefusesReservationsAndAcceptsSettlements) {
+  replica_->SetMemoryFull(true);
   replica_->OnRequest(now_, kGateway, {1, ReserveTurn{}});
   std::vector<OutgoingLedgerReply> replies = replica_->TakeReplies();
   ASSERT_EQ(replies.size(), 1U);
   EXPECT_EQ(replies[0].reply.status, ReplyStatus::kOverloaded);
   Submit(2);
   EXPECT_EQ(answered_, 1) << "a settlement";
-  replica_->SetDiskFull(false);
+  replica_->SetMemoryFull(false);
   replica_->OnRequest(now_, kGateway, {3, ReserveTurn{}});
   ProcessReady();
   EXPECT_EQ(answered_, 2);
