--- a/src/roles/contact_line.h
+++ b/src/roles/contact_line.h
@@ -1,4 +1,4 @@
-// Lines of the decision log on a copy of the store's keys.
+// Event log lines about the store mirrors.
 #pragma once
 
 #include "event_log/event_log.h"
@@ -6,9 +6,9 @@
 
 namespace martenyard::roles {
 
-/// Tells that the store was lost or regained for a copy.
-/// @param what what the copy holds, in an operator's words.
-/// @param status how the call ended that showed it.
+/// @return the line that logs that a mirror lost or regained its connection to the store.
+/// @param what the content of the mirror, as operators know it.
+/// @param status the result of the store call that showed it.
 event_log::Line DescribeStoreContact(const char* what, const store::PrefixMirror& mirror,
                                      bool reachable, store::StoreStatus status);
 
--- a/src/roles/directory_keys.h
+++ b/src/roles/directory_keys.h
@@ -1,18 +1,18 @@
-// Keys of the system's own directory in the store. All lie under "martenyard/".
+// Keys of the system's own directory in the store, all below "martenyard/".
 #pragma once
 
 namespace martenyard::roles {
 
-/// One key a gateway, below its zone's name: where its peers reach it.
+/// One key per gateway, below its zone's name: its address for peers.
 inline constexpr char kGatewayMachines[] = "martenyard/gateways/";
-/// A few keys a zone, below its name: the gateways that sum up for it and watch the store.
+/// A few keys per zone, below its name: the gateways that aggregate its loads and watch the store.
 inline constexpr char kAggregators[] = "martenyard/aggregators/";
 inline constexpr char kLedgerPrefix[] = "martenyard/ledger/";
-/// One key a storage machine: its present identity and address.
+/// One key per storage machine: its current identity and address.
 inline constexpr char kLedgerMachines[] = "martenyard/ledger/machines/";
-/// The founders of the ledger's groups; written once.
+/// The initial members of the ledger's groups; written once.
 inline constexpr char kLedgerGroups[] = "martenyard/ledger/groups";
-/// One key a machine to be emptied and group that no longer needs it.
+/// One key per retiring machine and group that no longer needs it.
 inline constexpr char kLedgerEmptied[] = "martenyard/ledger/emptied/";
 
 }  // namespace martenyard::roles
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -27,23 +27,25 @@
 constexpr absl::Duration kTick = absl::Milliseconds(100);
 constexpr absl::Duration kHousekeepingInterval = absl::Seconds(1);
 constexpr absl::Duration kKeepGoneRunners = absl::Seconds(10);
-/// A group of the ledger that answered nothing for this long is asked whether it is there.
+/// A ledger group without a reply for this long is probed.
 constexpr absl::Duration kProbeAfter = absl::Milliseconds(250);
 constexpr std::size_t kMostRelays = 4;
-/// A stopping gateway still gets new connections until its readiness was asked for twice.
+/// Load balancers keep sending new connections until two readiness checks have failed.
 constexpr absl::Duration kLeastDrain = absl::Seconds(3);
-/// Kept free between the process's own end and the platform's SIGKILL.
+/// Margin between the end of the process and the platform's SIGKILL.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(700);
+/// Limits buffered request bodies to 1/4 of the memory limit.
 constexpr std::uint64_t kMemoryShareForBodies = 4;
-/// Of the memory, for frames to peers that don't take them.
+/// Limits unsent frames to peers to 1/16 of the memory limit.
 constexpr std::uint64_t kMemoryShareForFrames = 16;
 constexpr std::size_t kDescriptorsKept = 1200;  // For runners, peers, files and the store.
 
-/// At most, between the store's taking a notice and the arrival of a request that was sent on the
-/// knowledge before it: the watch's spacing, a peer's news and the way to the runner.
+/// Upper bound on the time between the store's acceptance of a drain notice and the arrival at the
+/// runner of a request sent before the gateway learned of it: watch spacing, propagation between
+/// gateways, and network delay.
 constexpr absl::Duration kNoticeLag = absl::Milliseconds(800);
 
-/// The slots change together when a fleet starts.
+/// Batches the slot changes that occur together when a fleet starts.
 constexpr absl::Duration kSlotsWatchSpacing = absl::Milliseconds(500);
 
 store::MirrorOptions WatchSlowly(const RoleSettings& settings) {
@@ -56,7 +58,7 @@
 
 namespace {
 
-/// Takes the switched-off mechanisms out of the options.
+/// Adjusts the options for the disabled mechanisms.
 void ApplyPolicy(const policy_switches& policy, forwarding::GatewayState& state) {
   forwarding::ForwardingOptions& options = state.options;
   forwarding::ChoiceOptions& choice = options.choice;
@@ -92,7 +94,7 @@
   options.reads_replicas = policy.on(mechanism::replica_chains);
 }
 
-/// The settings were checked when they were read.
+/// Errors are only logged: the settings were validated when they were read.
 void ApplyKnobs(const std::string& knobs, forwarding::GatewayState& state) {
   std::string fault = Recover<policy_error>(
       [&]() -> Result<std::string> {
@@ -235,7 +237,7 @@
   return self;
 }
 
-// ---- What the store tells ----
+// ---- Store changes ----
 
 void GatewayRole::OnContact(const char* what, const store::PrefixMirror& mirror, bool reachable,
                             store::StoreStatus status) {
@@ -312,7 +314,7 @@
   absl::ConsumePrefix(&id, formats_.RunnersPrefix());
   discovery::RunnerId runner{std::string(id)};
   if (state_->runners.Find(runner) == nullptr) {
-    return;  // The entry never named one.
+    return;  // The record was never readable.
   }
   state_->runners.Remove(SteadyNow(), runner);
   state_->pool.CloseAll(runner);
@@ -339,7 +341,7 @@
   std::vector<Machine> machines;
   for (const auto& [key, item] : ledger_directory_.items()) {
     if (!absl::StartsWith(key, kLedgerMachines)) {
-      continue;  // Another kind of record.
+      continue;  // Not a machine record.
     }
     auto machine = wire::Decode<Machine>(item.value);
     if (!machine || machine->name.empty()) {
@@ -408,7 +410,7 @@
   bool answered =
       result.end == turn_ledger::CallEnd::kDone || result.end == turn_ledger::CallEnd::kOverloaded;
   if (!answered) {
-    co_return;  // The peer asks somebody else.
+    co_return;  // The peer retries elsewhere.
   }
   turn_ledger::LedgerReply reply;
   reply.request = request.request;
@@ -417,11 +419,11 @@
   link_.answer(peer, std::move(reply), layout);
 }
 
-// ---- Time ----
+// ---- Periodic work ----
 
 void GatewayRole::JudgeReadiness() {
   const readiness_options knobs;
-  if (!stopping_) {  // A stop waits for the calls that are under way.
+  if (!stopping_) {  // A stop waits for pending calls; a probe would prolong it.
     state_->ledger->ProbeQuietGroups(kProbeAfter);
   }
   readiness_view view;
@@ -432,7 +434,8 @@
   view.m_peers_without_ledger = exchange_.peers_without_ledger();
   bool reaches = ledger_readiness_.judge(view) || !settings_.policy.on(mechanism::readiness);
   std::vector<wire::Endpoint> relays;
-  // While a ledger recovers for all, its silence is no reason to send every call twice.
+  // Relays are used only if the ledger is lost by this gateway alone: while it recovers for all
+  // gateways, they would double its load.
   if (ledger_readiness_.lost_alone() && settings_.policy.on(mechanism::relays)) {
     relays = exchange_.peers_with_ledger(kMostRelays);
   }
@@ -481,10 +484,10 @@
   absl::Duration elapsed = now - stop_asked_at_;
   bool left_out = elapsed >= std::min(kLeastDrain, settings_.stop_grace / 2);
   if (left_out) {
-    // Nobody is sent here any more; a request that crosses the close was not taken.
+    // No new clients arrive any more. A request that crosses the close was not accepted.
     frontend_.CloseIdle();
   }
-  // A connection that is still open may just have brought a request that isn't counted yet.
+  // An open connection may hold a received request that is not counted as active yet.
   const async_http::ServerStats& clients = frontend_.stats();
   bool idle = clients.active_exchanges == 0 && clients.open_connections == 0 &&
               state_->ledger->pending() == 0;
@@ -500,7 +503,7 @@
   return state_->routes != nullptr && !stopping_ && reaches_ledger_;
 }
 
-// ---- Questions ----
+// ---- Readiness and metrics endpoints ----
 
 void GatewayRole::SetStoreMetrics() {
   struct Copy {
--- a/src/roles/gateway_role.h
+++ b/src/roles/gateway_role.h
@@ -1,4 +1,4 @@
-// The gateway role: takes client requests and forwards them; keeps nothing that must last.
+// The gateway role: accepts client requests and forwards them to runners. It has no durable state.
 #pragma once
 
 #include <memory>
@@ -24,9 +24,10 @@
 
 namespace martenyard::roles {
 
-/// @param drain how long the deployment lets a leaving runner get work, from the moment that the
-/// store has taken its notice.
-/// @return how long a gateway may still use one when there is no other, from the moment it heard.
+/// @param drain how long a draining runner may be given requests, counted from the time the store
+/// accepted its notice.
+/// @return how long a gateway may fall back to a draining runner, counted from the time it learned
+/// of the notice.
 absl::Duration LeavingRunnerUse(absl::Duration drain);
 
 class GatewayRole {
@@ -36,38 +37,37 @@
 
   /// Errors: wire::TransportError, async_http::ServerError.
   Result<void> Start();
-  /// A planned stop: no longer ready at once, serves on, and ends the loop when all is answered.
+  /// Planned stop: reports not ready at once, keeps serving, and stops the loop when no request is
+  /// pending.
   void RequestStop();
   bool ready() const;
   forwarding::GatewayState& state() { return *state_; }
   async_http::Server& frontend() { return frontend_; }
-  /// @return the port that clients connect to.
   std::uint16_t frontend_port() const { return frontend_.port(); }
   std::uint16_t readiness_port() const { return readiness_.port(); }
 
  private:
   void OnConfigurationChange(const store::StoreChange& change);
   void OnRunnerChange(const store::StoreChange& change);
-  /// The entry under this key names no runner any more.
+  /// Removes the runner that was registered under `key`.
   void RemoveRunner(const std::string& key);
-  /// The runner has started again under its id.
+  /// Drops connections and prefix cache state of the previous process of a restarted runner.
   void ForgetEarlierLife(const discovery::RunnerId& runner);
-  /// The ledger's machines or groups changed: they are laid out anew, once for all changes that
-  /// came together.
+  /// Schedules one layout update for all directory changes of the current loop round.
   void OnLedgerDirectoryChange();
   void LayOutLedger();
   void OnContact(const char* what, const store::PrefixMirror& mirror, bool reachable,
                  store::StoreStatus status);
   void SetStoreMetrics();
-  /// Tells the ledger's clients which machines to ask for which group.
+  /// Tells the ledger clients which machines to contact for each group.
   void SetLedgerGroups(const std::vector<turn_ledger::Machine>& machines);
 
   void OnFrame(const std::string& payload);
   void Tick(absl::Time now);
-  /// Looks whether the ledger answers, and tells clients to go elsewhere if only this gateway lost
-  /// it.
+  /// Probes the ledger groups. Reports not ready while this gateway, but not most of its peers, has
+  /// lost the ledger.
   void JudgeReadiness();
-  /// Makes a peer's call to the ledger in its place.
+  /// Executes a ledger call on behalf of a peer gateway.
   async_http::Task<void> RelayToLedger(wire::Endpoint peer, turn_ledger::LedgerRequest request,
                                        wire::Layout layout);
   void CheckStop(absl::Time now);
@@ -95,7 +95,7 @@
   Ticker ticker_;
 
   readiness ledger_readiness_;
-  bool reaches_ledger_ = true;  ///< As far as new clients are concerned.
+  bool reaches_ledger_ = true;  ///< The reported state: debounced, and true in a shared outage.
   bool layout_is_due_ = false;
   absl::Time next_housekeeping_;
   bool stopping_ = false;
--- a/src/roles/peer_book.cc
+++ b/src/roles/peer_book.cc
@@ -37,7 +37,7 @@
 void PeerBook::Load() {
   std::optional<std::string> bytes = storage::ReadSmallFile(path_);
   if (!bytes) {
-    return;  // The first start on this disk.
+    return;  // First start on this disk.
   }
   auto machines = wire::Decode<std::vector<Machine>>(*bytes);
   if (!machines) {
--- a/src/roles/peer_book.h
+++ b/src/roles/peer_book.h
@@ -1,4 +1,4 @@
-// The other storage machines that a ledger machine has heard of; they outlive its process.
+// The other storage machines known to a ledger machine, persisted across restarts.
 #pragma once
 
 #include <map>
@@ -12,18 +12,19 @@
 
 class PeerBook {
  public:
-  /// @param path where the book is kept; a missing file is an empty book, and so is a torn one,
-  /// which is logged. What can't be written is logged: the machine then asks the store again after
-  /// its next start.
+  /// Loads the registry. A missing file yields an empty registry, and so does an unreadable one,
+  /// which is logged. A failed write is logged: after a restart, the peers are read from the store
+  /// again.
   PeerBook(std::string path, event_log::EventLog& log);
 
-  /// Notes what is known of a machine. @return true when that is news.
+  /// Adds or updates a machine. @return whether anything changed.
   bool Note(const turn_ledger::Machine& machine);
-  /// The machine spoke for itself in this process's life: its word goes before any directory's.
+  /// Notes that this process received a message from the machine itself, whose data take precedence
+  /// over the directory's.
   void NoteHeard(const std::string& name) { heard_.insert(name); }
   bool HasHeard(const std::string& name) const { return heard_.contains(name); }
   bool Knows(const std::string& name) const { return machines_.contains(name); }
-  /// @return the machine that has this identity now, or null.
+  /// @return the machine with this identity, or null.
   const turn_ledger::Machine* Find(NodeId identity) const;
   const std::map<std::string, turn_ledger::Machine>& machines() const { return machines_; }
 
--- a/src/roles/platform_formats.h
+++ b/src/roles/platform_formats.h
@@ -1,5 +1,5 @@
-// What the roles need to know of the platform that they run on: where things lie in its store and
-// how they are written. An adapter implements it; it holds names and formats, no decisions.
+// Interface to the platform's store: its keys and document formats. Implementations contain no
+// policy.
 #pragma once
 
 #include <optional>
@@ -16,7 +16,7 @@
  public:
   virtual ~PlatformFormats() = default;
   virtual const forwarding::HeaderNames& headers() const = 0;
-  /// What the API keys of all configurations read here were hashed with.
+  /// @return the hasher of the API keys in all configurations read here.
   virtual const tenancy::key_hasher& key_hasher() const = 0;
 
   virtual std::string ConfigurationKey() const = 0;
@@ -28,9 +28,9 @@
   virtual std::optional<discovery::Runner> ReadRunner(absl::string_view key,
                                                       absl::string_view text) const = 0;
 
-  /// Under it, one key a storage machine that the operator wants emptied.
+  /// @return the prefix of the operator's retirement requests, one key per storage machine.
   virtual std::string RetirePrefix() const = 0;
-  /// @return the key that tells how far `machine` is emptied.
+  /// @return the key of the retirement status of `machine`.
   virtual std::string RetireStatusKey(absl::string_view machine) const = 0;
   virtual std::string WriteRetireStatus(bool completed) const = 0;
 };
--- a/src/roles/store_watches.cc
+++ b/src/roles/store_watches.cc
@@ -5,11 +5,10 @@
 namespace martenyard::roles {
 namespace {
 
-/// A machine whose connection was lost counts as in trouble for a while. So a lost watch may be
-/// found out later than a change must be known: within one and a half times that bound.
+/// The propagation bound does not apply to a machine that has just lost its connection, so a lost
+/// watch may be detected within 1.5 times that bound.
 constexpr double kBoundsToFindOut = 1.5;
-/// A machine is given some nine seconds to be emptied; a call each five costs each storage machine
-/// twelve a minute.
+/// Retiring a machine may take about 9 s in all, so a lost watch must be detected sooner.
 constexpr absl::Duration kOperatorWait = absl::Seconds(5);
 
 }  // namespace
--- a/src/roles/store_watches.h
+++ b/src/roles/store_watches.h
@@ -1,9 +1,10 @@
-// How the roles' copies of the store's keys watch it.
+// Watch options of the roles' store mirrors.
 //
-// A watch that the store lost is found out at its end, so the wait bounds how long a copy may be
-// old. Copies that requests go by are proved within the deployment's bounds; each proof is a call
-// of the few gateways that watch. The others wait as long as the store's history allows, and are
-// asked anew once the proved ones show that the store was silent: see store/store_contact.h.
+// A watch that the store has lost is detected only when it times out, so the timeout bounds the
+// staleness of the mirror. Mirrors that request handling depends on time out within the
+// deployment's bounds, at the cost of one store call per timeout from the few gateways that watch.
+// The others wait as long as the store's history allows. They are restarted when the former detect
+// that the store did not answer for a while: see store/store_contact.h.
 #pragma once
 
 #include "roles/role_settings.h"
@@ -11,14 +12,14 @@
 
 namespace martenyard::roles {
 
-/// For the configuration and the runners.
+/// For the configuration and the runners: bounded staleness.
 store::MirrorOptions ProvedWatch(const RoleSettings& settings);
 
-/// For the system's own directory.
+/// For the system's own directory: the longest timeout that the store's history allows.
 store::MirrorOptions LongWatch(const RoleSettings& settings);
 
-/// For what operators ask of storage machines: they wait for it by seconds, and it is the only
-/// watch by which a storage machine finds out that the store was silent.
+/// For retirement requests to storage machines. Operators wait for them, and no other watch of a
+/// storage machine detects within seconds that the store did not answer.
 store::MirrorOptions OperatorWatch(const RoleSettings& settings);
 
 }  // namespace martenyard::roles
--- a/src/roles/ticker.cc
+++ b/src/roles/ticker.cc
@@ -7,7 +7,7 @@
 namespace martenyard::roles {
 namespace {
 
-/// A tick this late means that the process stood still; it is logged.
+/// A longer time between two ticks is logged as a stall of the process.
 constexpr absl::Duration kStandstill = absl::Milliseconds(500);
 
 }  // namespace
--- a/src/roles/ticker.h
+++ b/src/roles/ticker.h
@@ -1,4 +1,4 @@
-// Calls a role's housekeeping at regular times and tells when the process stood still.
+// Runs a role's housekeeping periodically and logs stalls of the process.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 class Ticker {
  public:
-  /// @param on_tick receives the time, by the steady clock.
+  /// @param on_tick receives the steady clock's time.
   Ticker(wire::EventLoop& loop, absl::Duration period, event_log::EventLog& log,
          std::function<void(absl::Time now)> on_tick);
   /// Runs until the loop ends.
