--- a/src/roles/ledger/founders_record.h
+++ b/src/roles/ledger/founders_record.h
@@ -1,4 +1,4 @@
-// The ledger's groups as they were founded, read from their record in the store.
+// The initial layout of the ledger's groups, read from its record in the store.
 #pragma once
 
 #include <optional>
@@ -10,14 +10,15 @@
 namespace martenyard::roles
 {
 
-/// @brief the record, decoded once for each of its revisions
+/// @brief the group layout, decoded once per revision of its record
 class founders_record
 {
   public:
-    /// @param[in] directory  a copy of the ledger's directory; both must outlive this
+    /// All references must outlive this object.
+    /// @param[in] directory  a mirror of the ledger's directory
     founders_record(const store::PrefixMirror& directory, event_log::EventLog& log);
 
-    /// @return the groups, or null while they aren't known; an unreadable record is logged once
+    /// @return the layout, or null while it isn't known; an unreadable record is logged once
     const turn_ledger::group_layout* layout();
 
   private:
--- a/src/roles/ledger/kept_copies.cc
+++ b/src/roles/ledger/kept_copies.cc
@@ -20,11 +20,11 @@
 
 constexpr std::uint32_t file_format = 1;
 
-/// the copies' names in files and log lines, in the order of aggregation::known_changes
+/// the mirrors' names in files and log lines, in the order of aggregation::known_changes
 constexpr std::array<const char*, aggregation::mirror_count> copy_names{"configuration", "runners",
                                                                         "ledger_directory", "aggregators"};
 
-/// @brief a copy as its file has it
+/// @brief the file format of a mirror
 struct written_copy
 {
     std::uint32_t m_format = file_format;
@@ -82,7 +82,7 @@
     std::optional<std::string> bytes = storage::ReadSmallFile(path(copy));
     if (!bytes)
     {
-        return;  // The first start on this disk.
+        return;  // First start on this disk.
     }
     auto written = wire::Unseal<written_copy>(*bytes);
     bool usable =
@@ -113,7 +113,7 @@
     if (!failure.empty())
     {
         m_log.Write(Line("kept_copy_unsaved").Text("copy", copy_names[copy]).Text("detail", failure));
-        return;  // Tried again after the pause.
+        return;  // Retried after the interval.
     }
     state.m_written = known.last_change();
 }
@@ -169,7 +169,7 @@
 void kept_copies::take(instant /*now*/, const store::news_request& request)
 {
     bool knows_any = request.m_mirror < m_copies.size() && m_copies[request.m_mirror]->last_change() > 0;
-    if (knows_any)  // If not, the asker tries another one.
+    if (knows_any)  // If not, the peer tries another storage machine.
     {
         m_sender.send({request.m_address, request.m_port}, request.m_mirror, request.m_last_change);
     }
--- a/src/roles/ledger/kept_copies.h
+++ b/src/roles/ledger/kept_copies.h
@@ -1,10 +1,10 @@
-// A storage machine's copies of the store's keys that gateways go by, on its disk.
+// Mirrors of the store's keys that gateways depend on, persisted by the storage machines.
 //
-// Gateways have no disk: when all of them start at once while the store is away, none knows a
-// configuration, a runner or a storage machine. The gateways that speak for their zones tell its storage
-// machines what changes; a process that knows nobody asks one of them (RoleSettings::seeds). A copy is
-// as old as the last thing told before the outage: it carries the store's revisions, so that it never
-// takes the place of a newer one, and who goes by it knows that the store has not confirmed it.
+// Gateways have no disk: without these mirrors, gateways that all start while the store is unavailable
+// would know no configuration, runner or storage machine. The aggregators that represent their zone announce
+// changes to its storage machines, which then request them. A process without known peers requests them
+// from one of its seeds (RoleSettings::seeds). A mirror keeps the store's revisions, so it never replaces
+// newer data, and its readers can tell that the store has not confirmed it.
 #pragma once
 
 #include <array>
@@ -28,48 +28,48 @@
 namespace martenyard::roles
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct kept_copies_options
 {
-    /// between two writes of the same copy: one that changes each 0.15 s costs a sync or two a second
+    /// minimum time between two writes of the same mirror; bounds the rate of syncs
     std::chrono::milliseconds m_write_pause{500};
-    /// a large copy is written less often: of 10,000 runners, 3 MB, each 12 s
+    /// a large mirror is written less often: one of 3 MB (10,000 runners) every 12 s
     std::size_t m_written_bytes_per_second = std::size_t{256} << 10;
-    /// before the next question for the same copy: its answer is on the way
+    /// time before an unanswered request for the same mirror is repeated
     std::chrono::milliseconds m_ask_again{400};
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class kept_copies
 {
   public:
-    /// All references must outlive the copies.
-    /// @param[in] directory  the role's own copy of the ledger's directory, which follows the store itself
-    /// @param[in] self       what peers are told the news come from
+    /// All references must outlive this object.
+    /// @param[in] directory  the role's own mirror of the ledger's directory, which watches the store
+    /// @param[in] self       the sender named in messages to peers
     kept_copies(async_http::asio::io_context& context, const RoleSettings& settings,
                 const PlatformFormats& formats, store::MetadataStore& store, wire::Transport& transport,
                 store::PrefixMirror& directory, std::function<turn_ledger::Machine()> self,
                 event_log::EventLog& log, const kept_copies_options& options = {});
 
-    /// @brief reads what the disk has
+    /// @brief loads the mirrors from disk
     void start();
 
-    /// @brief a gateway told which changes it knows, or a process asks for what it lacks
+    /// @brief handles a gateway's digest or a peer's request for changes
     void on_datagram(const std::string& payload);
 
-    /// @brief a gateway answered
+    /// @brief applies changes received from a gateway
     void on_news(const store::news_reply& reply);
 
-    /// @brief writes what is due, one copy at a time
+    /// @brief writes at most one changed mirror to disk
     void tick();
 
   private:
     using instant = aggregation::instant;
 
-    /// Of one copy.
+    /// Persistence state of one mirror.
     struct upkeep
     {
-        /// the last change that the disk has
+        /// the last change on disk
         std::uint64_t m_written = 0;
         instant m_next_write;
         std::optional<instant> m_asked;
@@ -80,7 +80,7 @@
     std::string path(std::size_t copy) const;
     void take(instant now, const aggregation::digest& told);
     void take(instant now, const store::news_request& request);
-    /// nobody sends a storage machine anything else
+    /// ignores messages that are not meant for storage machines
     template <typename Other>
     void take(instant /*now*/, const Other& /*other*/)
     {
@@ -90,7 +90,7 @@
     wire::Transport& m_transport;
     event_log::EventLog& m_log;
     kept_copies_options m_options;
-    /// these never ask the store
+    /// never started: updated by peers only
     store::PrefixMirror m_configuration;
     store::PrefixMirror m_runners;
     store::PrefixMirror m_aggregators;
--- a/src/roles/ledger/ledger_lines.h
+++ b/src/roles/ledger/ledger_lines.h
@@ -1,4 +1,4 @@
-// What a storage machine's log says of its replicas and of its work: see docs/LOGS.md.
+// Event log lines about a storage machine's replicas and work: see docs/LOGS.md.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 namespace martenyard::roles
 {
 
-/// @return the line of a replica whose role, term or members changed
+/// @return the line for a change of a replica's role, term or members
 event_log::Line describe_replica_role(GroupId group, const consensus::Raft& raft);
 
-/// @param[in] synced_writes  of all groups, since the process began
-/// @return the line that tells how far a replica is
+/// @param[in] synced_writes  of all groups, since the process started
+/// @return the line with a replica's log positions and sizes
 event_log::Line describe_progress(GroupId group, const turn_ledger::TurnReplica& replica,
                                   std::uint64_t synced_writes);
 
-/// @return the line that tells what the loop did, and how far the log store is behind
+/// @return the line with the event loop's work and the log store's write backlog
 event_log::Line describe_work(const work_account::sums& sums, const storage::WriteBacklog& backlog);
 
 }  // namespace martenyard::roles
--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_emptying.cc
@@ -19,7 +19,7 @@
 namespace
 {
 
-/// between two looks at how far machines are emptied: an operator waits for it, and a look costs little
+/// time between two checks of the retiring machines
 constexpr std::chrono::milliseconds report_interval{250};
 
 std::string note_key(const std::string& machine, GroupId group)
@@ -99,7 +99,7 @@
     {
         transaction.removals.push_back(key);
     }
-    // A conflict or a lost answer shows in the directory's copy; the next look tries again.
+    // After a conflict or a lost reply, the next check retries from the directory's mirror.
     co_await m_store.Commit(std::move(transaction));
 }
 
@@ -139,7 +139,7 @@
 
 Task<void> machine_emptying::note_group(GroupId group, std::vector<std::string> machines)
 {
-    // Notes of machines that are asked for no more go too: their names may come again.
+    // Records of machines that are no longer retiring are removed: their names may be reused.
     std::vector<std::string> before = noted(group);
     machines.insert(machines.end(), before.begin(), before.end());
     for (const std::string& name : machines)
--- a/src/roles/ledger/machine_emptying.h
+++ b/src/roles/ledger/machine_emptying.h
@@ -1,7 +1,7 @@
-// Empties storage machines that the operator wants to take away: tells the groups, notes in the store
-// which groups need a machine no more, and reports when none does.
+// Retires storage machines at the operator's request: passes the requests to the replicas, records in the
+// store which groups no longer need a machine, and reports when no group does.
 //
-// Each group's leader notes for its group; the first group's leader reports to the operator.
+// Each group's leader writes the record of its group; the first group's leader reports to the operator.
 #pragma once
 
 #include <functional>
@@ -22,35 +22,35 @@
 namespace martenyard::roles
 {
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class machine_emptying
 {
   public:
     /// @return this machine's replica of a group, or null
     using find_replica = std::function<turn_ledger::TurnReplica*(GroupId group)>;
-    /// told the machines that the operator wants emptied
+    /// called with the machines that the operator wants retired
     using on_retiring = std::function<void(const std::vector<std::string>& machines)>;
 
-    /// All references must outlive this.
+    /// All references must outlive this object.
     machine_emptying(async_http::asio::io_context& context, const RoleSettings& settings,
                      const PlatformFormats& formats, store::MetadataStore& store,
                      const store::PrefixMirror& directory, founders_record& founders,
                      event_log::EventLog& log, find_replica find, on_retiring told);
 
-    /// @brief begins to follow what the operator asks for
+    /// @brief starts to watch the operator's requests
     void start();
 
-    /// @return the machines that the operator wants emptied
+    /// @return the machines that the operator wants retired
     std::vector<std::string> retiring() const;
 
   private:
     void on_change();
     async_http::Task<void> report();
     async_http::Task<void> report_statuses(std::map<std::string, std::string>& reported);
-    /// writes down which of the machines the group needs no more
+    /// records which of the machines the group no longer needs
     async_http::Task<void> note_group(GroupId group, std::vector<std::string> machines);
     async_http::Task<void> note(GroupId group, const std::string& machine, bool emptied);
-    /// @return the machines that were noted for the group
+    /// @return the machines with a record for the group
     std::vector<std::string> noted(GroupId group) const;
     bool all_groups_emptied(const std::string& machine);
 
--- a/src/roles/ledger/work_account.h
+++ b/src/roles/ledger/work_account.h
@@ -1,4 +1,4 @@
-// What the ledger's loop spent its time with, for its log.
+// Statistics of the ledger event loop's work, for the event log.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 namespace martenyard::roles
 {
 
-/// @brief what the loop does; @ref work_names has them in this order
+/// @brief kinds of work, in the order of @ref work_names
 enum class work_kind : std::size_t
 {
     chain_reads,
@@ -28,7 +28,7 @@
                                                        "staged_entries", "store_writes", "applying",
                                                        "snapshot_steps", "transfers"};
 
-/// @brief how often, how long and how many bytes
+/// @brief totals of one kind of work
 struct work_done
 {
     std::int64_t m_times = 0;
@@ -37,13 +37,13 @@
     absl::Duration m_longest;
 };
 
-/// @brief sums up until the sums are taken
+/// @brief accumulates totals until they are taken
 class work_account
 {
   public:
     using sums = std::array<work_done, work_names.size()>;
 
-    /// @brief does the work and counts how long it took
+    /// @brief runs `work` and adds its duration to the totals
     template <typename Work>
     auto timed(work_kind kind, Work work)
     {
@@ -64,7 +64,7 @@
     }
 
   private:
-    /// counts when the work is left, whatever it returns
+    /// adds the elapsed time on destruction
     class closing_entry
     {
       public:
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -24,33 +24,32 @@
 
 constexpr absl::Duration kTick = absl::Milliseconds(20);
 constexpr absl::Duration kHelloInterval = absl::Milliseconds(250);
-/// Machines with replicas are heard of by most others anyway.
+/// For machines with replicas, which also send log messages to many of the others.
 constexpr absl::Duration kMemberHelloInterval = absl::Milliseconds(400);
-/// For each machine known: thirty messages a second at most, however many machines there are.
+/// Per known machine; limits hellos to 30 per second regardless of the number of machines.
 constexpr absl::Duration kHelloPauseForEach = absl::Milliseconds(33);
-/// A machine that may be added was heard within this many of the others' pauses.
+/// A machine counts as alive if it was heard within this many hello intervals.
 constexpr double kLivePauses = 2.5;
-/// Machines named in one message of a machine that holds nothing yet; others with the next.
+/// Known machines listed in one hello of a machine without replicas; each hello lists a new sample.
 constexpr std::size_t kMostMachinesTold = 16;
 constexpr absl::Duration kReopenPause = absl::Milliseconds(250);
 constexpr absl::Duration kRegisterPause = absl::Seconds(1);
 constexpr absl::Duration kFoundingPause = absl::Milliseconds(200);
-/// With fewer machines than wanted, the group is founded only after this time.
+/// With fewer machines than replicas, the groups are bootstrapped only after this time.
 constexpr absl::Duration kFoundingPatience = absl::Seconds(4);
-/// Machines start within some tenths of a second of each other: all should be in the layout.
+/// Lets all machines of a starting deployment register before the group layout is written.
 constexpr absl::Duration kFoundingLinger = absl::Milliseconds(1500);
-/// Between two machines' tries to found: the store's answer and the watch of it take less.
+/// Stagger of the machines' bootstrap attempts; longer than a store write and its watch event.
 constexpr absl::Duration kFoundingTurn = absl::Milliseconds(150);
 constexpr absl::Duration kLoneFoundingLinger = absl::Milliseconds(300);
 constexpr absl::Duration kHandOverLimit = absl::Milliseconds(600);
 constexpr absl::Duration kMemoryInterval = absl::Milliseconds(200);
 constexpr absl::Duration kProgressInterval = absl::Seconds(2);
-/// A snapshot's share of a tick. Four times as much kept a machine with half a core so busy that
-/// its heartbeats came late.
+/// Snapshot bytes stored per tick. Larger steps delay heartbeats on machines with little CPU.
 constexpr std::size_t kSnapshotStepBytes = std::size_t{64} << 10;
-/// A part of a snapshot to another machine; the next one waits until the connection has taken it.
+/// Size of a snapshot part sent to a peer; the next part waits until the connection has room.
 constexpr std::size_t kTransferPartBytes = std::size_t{128} << 10;
-/// Of the memory, for frames to peers that don't take them.
+/// Limits unsent frames to peers to 1/6 of the memory limit.
 constexpr std::uint64_t kMemoryShareForFrames = 6;
 constexpr absl::Duration kFlushInterval = absl::Milliseconds(250);
 constexpr char kPeersFile[] = "peers";
@@ -59,8 +58,8 @@
   return 2 * settings.tolerated_machines + 1;
 }
 
-/// A slow machine is busy for longer with a step that it must not be interrupted in: reading a log,
-/// applying what was committed. Its peers must not take that for its death.
+/// Scaled up on machines with little CPU, whose uninterruptible steps (reading a log, applying
+/// committed entries) take longer and must not cause an election.
 absl::Duration ElectionTimeout(const RoleSettings& settings) {
   constexpr absl::Duration kQuickMachine = absl::Milliseconds(220);
   constexpr double kQuickShare = 0.25;
@@ -88,7 +87,7 @@
   return options;
 }
 
-/// All machines register when the system starts: their records are fetched together.
+/// Batches the registrations of all machines when the system starts.
 store::MirrorOptions DirectoryOptions(const RoleSettings& settings) {
   store::MirrorOptions options = LongWatch(settings);
   options.watch_spacing = absl::Milliseconds(500);
@@ -180,7 +179,7 @@
 }
 
 void LedgerRole::SetDamagedLogAside() {
-  // A log with a hole must not vote: this machine rejoins under a new identity.
+  // A replica with a damaged log must not vote: this machine rejoins under a new identity.
   std::filesystem::path folder = std::filesystem::path(settings_.data_folder) / kLogFolder;
   std::filesystem::path aside = folder.string() + ".damaged";
   std::error_code error;
@@ -188,7 +187,7 @@
   if (!error) {
     std::filesystem::rename(folder, aside, error);
   }
-  // The log is opened again in any case; a folder that stayed is found damaged again.
+  // The log is reopened in any case; if the rename failed, it is found damaged again.
   log_.Write(Line("log_set_aside")
                  .Text("folder", aside.string())
                  .Text("error", error ? error.message() : ""));
@@ -201,7 +200,7 @@
     BOOST_LEAF_CHECK(disk_->SetIdentity(stored.identity));
   }
   identity_ = stored.identity;
-  next_hello_ = SteadyNow();  // The others learn at once who this machine is now.
+  next_hello_ = SteadyNow();  // Announces the identity to the peers without delay.
   std::size_t entries = 0;
   for (const auto& [group, stored_group] : stored.groups) {
     entries += stored_group.entries.size();
@@ -220,7 +219,7 @@
 }
 
 void LedgerRole::OnDiskFailed(const std::string& detail) {
-  // What is on the disk is unknown now: forget the memory of it and read it again.
+  // The state of the disk is unknown now: discard the replicas and reload them.
   log_.Write(Line("disk_failed").Text("detail", detail));
   replicas_.clear();
   disk_.reset();
@@ -249,7 +248,7 @@
   return Recover<storage::StorageError>(
       [&]() -> Result<Read> { return disk_->ReadEntry(group, entry); },
       [this](const storage::StorageError& error) {
-        // Later: this may run amid a replica's own work.
+        // Deferred: a replica may be the caller, and OnDiskFailed() destroys all replicas.
         loop_.Post([this, detail = error.detail] { OnDiskFailed(detail); });
         return Read();
       });
@@ -274,7 +273,7 @@
 }
 
 bool LedgerRole::SettleOnce() {
-  // All groups' writes share one sync.
+  // The writes of all groups share one sync.
   std::vector<std::pair<GroupId, consensus::Ready>> readies;
   std::vector<storage::GroupWrite> writes;
   for (auto& [group, replica] : replicas_) {
@@ -409,7 +408,7 @@
   }
 }
 
-// ---- Time ----
+// ---- Periodic work ----
 
 void LedgerRole::Tick(absl::Time now) {
   for (auto& [group, replica] : replicas_) {
@@ -424,7 +423,7 @@
     next_memory_look_ = now + kMemoryInterval;
     WatchMemory();
   }
-  // One group's part a tick; a failing disk ends all replicas.
+  // One group per tick. The loop must end here: a disk failure destroys all replicas.
   for (auto& [group, replica] : replicas_) {
     if (replica->TakesSnapshot()) {
       work_.timed(work_kind::snapshot_steps, [this, group = group, &replica = *replica] {
@@ -546,11 +545,12 @@
 
 void LedgerRole::OnLogMessage(const Machine& from, const turn_ledger::LogMessage& message) {
   if (message.to != identity_) {
-    link_.tell(from.endpoint, turn_ledger::Hello{});  // It means the disk that this machine lost.
+    // Sent to the identity of a lost disk: announces the current one.
+    link_.tell(from.endpoint, turn_ledger::Hello{});
     return;
   }
   if (Find(message.group) == nullptr && disk_ != nullptr) {
-    // Only a leader makes a machine a replica; it starts without a vote and learns the log.
+    // Only a leader adds replicas; a new one is a learner until it has caught up.
     bool from_leader = std::holds_alternative<consensus::AppendRequest>(message.message) ||
                        std::holds_alternative<consensus::SnapshotRequest>(message.message);
     if (from_leader) {
@@ -602,8 +602,8 @@
 }
 
 bool LedgerRole::HeardAnyway() {
-  // With several groups a machine is a spare of those that it is no member of: their leaders must
-  // know that it lives.
+  // With several groups, the leaders of groups without this machine need its hellos to know that it
+  // is available as a replacement.
   const turn_ledger::group_layout* layout = founders_.layout();
   bool single = layout != nullptr && layout->size() == 1;
   const turn_ledger::TurnReplica* first = replica();
@@ -636,7 +636,7 @@
     link_.tell(machine.endpoint, hello);
   }
   if (peers_.machines().empty()) {
-    // A machine with a new disk, while the store that would name the others is away.
+    // A new disk, and the store that lists the other machines is unavailable.
     for (const wire::Endpoint& seed : settings_.seeds) {
       if (seed.address != settings_.address) {
         link_.tell(seed, hello);
@@ -671,7 +671,7 @@
     return;
   }
   if (auto machine = wire::Decode<Machine>(*change.value)) {
-    // What the store says may be older than what the machine itself said in this life.
+    // The store's record may be older than what the machine itself sent to this process.
     if (!peers_.HasHeard(machine->name)) {
       NoteMachine(*machine, /*heard_now=*/false);
     }
@@ -711,7 +711,7 @@
     if (disk_ == nullptr || Find(group) != nullptr || !founders.IsVoter(identity_)) {
       continue;
     }
-    // The record is never changed: all founders start from the same empty log.
+    // The record is immutable, so all initial voters start from the same empty log.
     consensus::RestoredState restored;
     restored.snapshot.configuration = founders;
     storage::GroupWrite write;
@@ -744,14 +744,14 @@
     std::vector<Machine> machines;
     for (const auto& [key, item] : directory_.items()) {
       if (!absl::StartsWith(key, kLedgerMachines)) {
-        continue;  // Another kind of record.
+        continue;  // Not a machine record.
       }
       if (auto machine = wire::Decode<Machine>(item.value)) {
         machines.push_back(*machine);
       }
     }
     std::size_t wanted = WantedReplicas(settings_);
-    // One after the other: all see the same machines, and one write is enough.
+    // Staggered by name, so that usually only the first machine writes the record.
     auto before = static_cast<double>(
         std::count_if(machines.begin(), machines.end(),
                       [this](const Machine& machine) { return machine.name < settings_.node; }));
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -1,5 +1,5 @@
-// The ledger role: a storage machine's replica of the turn ledger, wired to its disk, its peers and
-// the platform's store.
+// The ledger role: connects a storage machine's replicas of the turn ledger to its disk, its peers
+// and the platform's store.
 #pragma once
 
 #include <functional>
@@ -36,7 +36,7 @@
 /// The log store's folder within the data folder.
 inline constexpr char kLogFolder[] = "log";
 
-/// Opens the log store; given so that tests bring their own disks.
+/// Opens the log store; injected so that tests can substitute the disk.
 using OpenLogStore = std::function<Result<std::unique_ptr<storage::LogStore>>()>;
 
 class LedgerRole {
@@ -46,13 +46,12 @@
 
   /// Errors: wire::TransportError.
   Result<void> Start();
-  /// A planned stop: hands leadership on, then ends the loop.
+  /// Planned stop: transfers leadership, then stops the loop.
   void RequestStop();
-  /// @return the replica of the lowest group that this machine has one of, or null.
+  /// @return this machine's replica of the group with the lowest id, or null if it has none.
   const turn_ledger::TurnReplica* replica() const {
     return replicas_.empty() ? nullptr : replicas_.begin()->second.get();
   }
-  /// A peer's message came.
   void OnFrame(const std::string& payload);
 
  private:
@@ -63,16 +62,17 @@
   std::optional<consensus::Entry> ReadStored(GroupId group, consensus::EntryId entry);
   turn_ledger::TurnReplica* Find(GroupId group);
   void Tick(absl::Time now);
-  /// Stores, sends and applies whatever the replica has to do.
+  /// Stores, sends and applies until no replica has pending work.
   void Settle();
+  /// One pass over all replicas. @return false when the disk failed.
   bool SettleOnce();
   /// Writes with one sync. @return false when the disk failed.
   bool Store(const std::vector<storage::GroupWrite>& writes);
-  /// Stores the next part of a snapshot under way, if there is one.
+  /// Stores the next part of the replica's snapshot in progress, if any.
   void StoreSnapshotStep(GroupId group, turn_ledger::TurnReplica& replica);
-  /// Refuses new reservations while this process is near its limit of memory.
+  /// Makes the replicas refuse new reservations while this process is near its memory limit.
   void WatchMemory();
-  /// Sends the next parts of snapshots to other members.
+  /// Sends the next parts of snapshots to other group members.
   void SendTransfers(GroupId group, turn_ledger::TurnReplica& replica);
   void OnStagedEntries(GroupId group, const consensus::StagedEntries& staged);
   void OnDiskFailed(const std::string& detail);
@@ -84,28 +84,28 @@
   void OnHello(const turn_ledger::Hello& hello);
   void OnDead(const wire::Endpoint& peer);
   void NoteMachine(const turn_ledger::Machine& machine, bool heard_now);
-  /// @return the time between two greetings: the more machines, the longer.
+  /// @return the time between two hellos, which grows with the number of known machines.
   absl::Duration HelloPause() const;
   void SayHello();
   void SendRaft(GroupId group, const consensus::Outbound& outbound);
-  /// True when the others hear of this machine by the log's messages.
+  /// @return whether log messages already show all peers that this machine is alive.
   bool HeardAnyway();
 
   void OnDirectoryChange(const store::StoreChange& change);
-  /// The operator wants these machines emptied.
+  /// Receives the machines that the operator wants retired.
   void OnRetiring(const std::vector<std::string>& machines);
   async_http::Task<void> Register();
   async_http::Task<void> FoundWhenPossible();
   void FoundFromRecord();
 
   void LogLeadership(GroupId group, const turn_ledger::TurnReplica& replica);
-  /// Tells once that a replica can't read what a later build left.
+  /// Logs once that a replica can't read an entry written by a later build.
   void LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica);
   void LogProgress(GroupId group, const turn_ledger::TurnReplica& replica);
   void LogWork();
   turn_ledger::Machine Self() const;
 
-  /// What was logged last of a replica's part in its group.
+  /// The state of a replica that was logged last.
   struct LoggedRole {
     consensus::Role role = consensus::Role::kFollower;
     consensus::Term term = 0;
@@ -137,7 +137,7 @@
   absl::Time next_flush_;
   absl::Time next_progress_;
   std::map<GroupId, std::optional<LoggedRole>> logged_roles_;
-  std::set<GroupId> halted_;  ///< Groups whose replica was told to be unreadable.
+  std::set<GroupId> halted_;  ///< Groups whose replica was logged as unreadable.
   std::uint64_t synced_writes_ = 0;
   work_account work_;
   memory_guard memory_;
--- a/src/roles/memory/memory_guard.h
+++ b/src/roles/memory/memory_guard.h
@@ -1,5 +1,4 @@
-// Whether a process is so near its limit of memory that it must take no new work. Decision code, but
-// for the function that asks the allocator.
+// Decides whether a process is too close to its memory limit to accept new work.
 #pragma once
 
 #include <cstdint>
@@ -7,27 +6,27 @@
 namespace martenyard::roles
 {
 
-/// @brief named knobs, as shares of the limit
+/// @brief tuning parameters, as shares of the limit
 struct memory_guard_options
 {
-    /// full from here on
+    /// full at or above this share
     double m_full_share = 0.8;
-    /// no longer full below
+    /// no longer full below this share
     double m_free_share = 0.72;
 };
 
-/// @brief says full and not full with some distance between, so that it doesn't flap
+/// @brief threshold with hysteresis
 class memory_guard
 {
   public:
-    /// @param[in] limit  bytes that the process may use
+    /// @param[in] limit  memory limit of the process, in bytes
     explicit memory_guard(std::uint64_t limit, const memory_guard_options& options = {});
 
-    /// @param[in] used  bytes in use now
+    /// @param[in] used  bytes in use
     /// @return whether the process is full
     bool judge(std::uint64_t used);
 
-    /// @return what was said last
+    /// @return the last decision
     bool full() const;
 
   private:
@@ -36,7 +35,7 @@
     bool m_full = false;
 };
 
-/// @return bytes that the allocator has taken from the system for this process
+/// @return bytes that the allocator has obtained from the operating system
 std::uint64_t allocated_bytes();
 
 }  // namespace martenyard::roles
--- a/src/roles/peers/peer_link.cc
+++ b/src/roles/peers/peer_link.cc
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// @brief what builds without greetings are asked instead; all of them answer it, whoever leads
+/// @brief layouts of builds without greetings; their replicas answer a probe whether or not they lead
 constexpr Layout probed_layouts[] = {Layout::kUnmarked2, Layout::kUnmarked1};
 
 }  // namespace
@@ -38,7 +38,7 @@
         });
 }
 
-// ---- Out ----
+// ---- Sending ----
 
 void peer_link::ask(const wire::Endpoint& to, Body request)
 {
@@ -138,7 +138,7 @@
 
 void peer_link::probe(const wire::Endpoint& to)
 {
-    // The answers carry number 0, which no call has.
+    // Replies to probes carry the request number 0, which no ledger call uses.
     turn_ledger::LedgerRequest request;
     request.operation = turn_ledger::Probe{};
     for (Layout layout : probed_layouts)
@@ -161,7 +161,7 @@
     m_stats.m_dropped += take_waiting(SteadyInstant(), peer).size();
 }
 
-// ---- In ----
+// ---- Receiving ----
 
 std::optional<turn_ledger::read_message> peer_link::read(const std::string& payload)
 {
--- a/src/roles/peers/peer_link.h
+++ b/src/roles/peers/peer_link.h
@@ -1,9 +1,8 @@
-// Frames between this process and gateways and storage machines of any build: each gets messages in a
-// layout that it reads.
+// Message link to gateways and storage machines of any build: each peer gets messages in a wire layout
+// that it can read.
 //
-// A process whose build isn't known is asked who it is in all the ways that some build answers: by a
-// greeting, and by a probe of the ledger in each layout that has no mark. What it must be told meanwhile
-// waits.
+// A peer of unknown build is sent a greeting, and for builds without greetings a ledger probe in each
+// unmarked layout. Requests to it are queued until its layout is known.
 #pragma once
 
 #include <chrono>
@@ -23,16 +22,16 @@
 namespace martenyard::roles
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct peer_link_options
 {
     turn_ledger::peer_layouts_options m_layouts;
-    /// requests that wait for their peers' layouts, as bytes; beyond it more are dropped, and their callers
-    /// try elsewhere. A kept turn may have several megabytes, a process of the least kind has 60.
+    /// limit of the queued requests of all peers; requests beyond it are dropped, and their callers retry
+    /// with other peers. A single turn may have several MB, the smallest process has 60 MB.
     std::size_t m_most_waiting_bytes = std::size_t{8} << 20U;
-    /// a request that waited longer is dropped: its caller has asked somebody else by then
+    /// a request queued for longer is dropped: its caller has tried another peer by then
     std::chrono::milliseconds m_longest_wait{400};
-    /// between two lines about frames that could not be read
+    /// minimum time between two log lines about unreadable frames
     std::chrono::milliseconds m_line_pause{1000};
 };
 
@@ -44,37 +43,37 @@
     std::uint64_t m_greetings = 0;
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class peer_link
 {
   public:
     using instant = std::chrono::steady_clock::time_point;
-    /// @brief told of a request of this number whose operation the peer at the endpoint does not know
+    /// @brief called with the number of a request whose operation the peer does not support
     using unsupported_handler = std::function<void(const wire::Endpoint&, std::uint64_t request)>;
 
-    /// @param[in] self  as messages name their sender
     /// All references must outlive the link.
+    /// @param[in] self  returns the sender named in messages
     peer_link(wire::Transport& transport, std::function<turn_ledger::Machine()> self,
               event_log::EventLog& log, unsupported_handler on_unsupported = {},
               const peer_link_options& options = {});
 
-    /// @brief sends a message that the peer answers
+    /// @brief sends a request, or queues it until the peer's layout is known
     void ask(const wire::Endpoint& to, turn_ledger::Body request);
 
-    /// @brief sends an answer in the layout of the request
+    /// @brief sends a reply in the layout of the request
     void answer(const wire::Endpoint& to, turn_ledger::Body body, wire::Layout layout);
 
     /// @brief sends a message whose bytes are the same in all layouts
     void tell(const wire::Endpoint& to, turn_ledger::Body body);
 
-    /// @return the message that a frame's payload holds, if it is one for the owner
+    /// @return the message in the payload; nothing for greetings and unreadable frames
     std::optional<turn_ledger::read_message> read(const std::string& payload);
 
     const peer_link_stats& stats() const
     {
         return m_stats;
     }
-    /// @return peers that are known to read less than this build writes
+    /// @return the number of peers known to read only earlier layouts
     std::size_t earlier_peers() const
     {
         return m_layouts.earlier_peers();
@@ -89,7 +88,7 @@
     };
 
     void hold(instant now, const wire::Endpoint& to, turn_ledger::Body request);
-    /// @return the peer's waiting requests but for those that waited too long
+    /// @return the peer's queued requests without the expired ones, which are dropped
     std::vector<waiting_request> take_waiting(instant now, const wire::Endpoint& peer);
 
     void send(const wire::Endpoint& to, turn_ledger::Body body, wire::Layout layout);
--- a/src/roles/policy/knobs.cc
+++ b/src/roles/policy/knobs.cc
@@ -37,13 +37,13 @@
             {
                 names.push_back(name);
             }
-            return leaf::new_error(policy_error{
-                absl::StrCat("no figure is named ", parts.first, "; there are ", absl::StrJoin(names, ","))});
+            return leaf::new_error(policy_error{absl::StrCat(
+                "unknown policy parameter '", parts.first, "', must be one of ", absl::StrJoin(names, ","))});
         }
         if (!absl::SimpleAtod(parts.second, &value) || value < 0)
         {
             return leaf::new_error(policy_error{
-                absl::StrCat(parts.first, " must be a number from 0, not '", parts.second, "'")});
+                absl::StrCat(parts.first, " must be a non-negative number, got '", parts.second, "'")});
         }
         *knob->second = value;
     }
--- a/src/roles/policy/knobs.h
+++ b/src/roles/policy/knobs.h
@@ -1,4 +1,4 @@
-// Named figures of the policies that an operator, or a trial, may set: name=value pairs.
+// Tuning parameters of the forwarding policies, set as name=value pairs.
 #pragma once
 
 #include <string>
@@ -11,9 +11,9 @@
 namespace martenyard::roles
 {
 
-/// @brief puts the figures into the options
-/// @param[in] text  pairs with commas between them, such as "most_load=0.8,home_ms=12"; may be empty
-/// Errors: policy_error names the unknown or unreadable one.
+/// @brief sets the parameters in the options
+/// @param[in] text  comma-separated pairs, such as "most_load=0.8,home_ms=12"; may be empty
+/// Errors: policy_error names the unknown parameter or the invalid value.
 Result<void> set_knobs(absl::string_view text, forwarding::ForwardingOptions& options);
 
 }  // namespace martenyard::roles
--- a/src/roles/policy/policy_switches.cc
+++ b/src/roles/policy/policy_switches.cc
@@ -68,7 +68,7 @@
                                return known.m_name;
                            });
             return leaf::new_error(policy_error{
-                absl::StrCat("no mechanism is named ", name, "; there are ", join_names(names))});
+                absl::StrCat("unknown mechanism '", name, "', must be one of ", join_names(names))});
         }
         switches.m_off.insert(found->m_mechanism);
     }
--- a/src/roles/policy/policy_switches.h
+++ b/src/roles/policy/policy_switches.h
@@ -1,4 +1,5 @@
-// Which of the mechanisms that decide are at work. All are, but for trials of what each is worth.
+// Switches for the mechanisms of the policies. All are enabled by default; experiments disable some to
+// measure their effect.
 #pragma once
 
 #include <set>
@@ -10,70 +11,69 @@
 namespace martenyard::roles
 {
 
-/// @brief a mechanism that can be switched off
+/// @brief a mechanism that can be disabled
 enum class mechanism
 {
-    /// runners of another zone cost more
+    /// runners in other zones have a higher cost
     zone_cost,
-    /// a shared piece of prompts has a home runner
+    /// each shared prompt prefix has a preferred runner
     home,
-    /// runners that keep more of the prompt cost less
+    /// runners with more of the prompt in their cache have a lower cost
     kept_prompts,
-    /// requests that wait at a runner cost time
+    /// requests queued at a runner add to its cost
     waiting_cost,
-    /// requests that run at a runner cost time
+    /// requests running at a runner add to its cost
     active_cost,
-    /// runners that lose requests cost more, the more a loss costs
+    /// a runner's rate of lost requests, weighted with the cost of a loss, adds to its cost
     loss_rates,
-    /// runners that failed twice in a row are used last for a while
+    /// runners that failed repeatedly are avoided for a while
     avoidance,
-    /// other gateways' requests count
+    /// the loads that other gateways cause are taken into account
     peer_loads,
-    /// the ledger tells where the turn before ran
+    /// the ledger returns the runner of the previous turn
     turn_places,
-    /// a repeatable request without an answer goes elsewhere after a while
+    /// a repeatable request without a response is retried at another runner after a timeout
     silence_limit,
-    /// gateways keep chains that they have seen
+    /// gateways cache turn chains
     chain_cache,
-    /// chains are read from any replica
+    /// turn chains are read from any replica
     replica_chains,
-    /// a gateway that alone loses the ledger isn't ready
+    /// a gateway that alone has lost the ledger reports not ready
     readiness,
-    /// a gateway that loses the ledger asks it through a peer
+    /// a gateway that alone has lost the ledger reaches it through a peer
     relays,
-    /// a few gateways watch the store for all
+    /// a few gateways watch the store and propagate its changes to the others
     peer_news,
-    /// reservations are refused while a group answers nothing
+    /// reservations are refused while a ledger group does not answer
     silence_refusal,
-    /// a leader refuses reservations while the oldest waits too long
+    /// a leader refuses reservations while its oldest pending one has waited too long
     overload_refusal,
-    /// new programs wait while the engines are full
+    /// new programs wait while the engines are at capacity
     program_admission,
-    /// leadership goes back to the machine that should have it
+    /// leadership is transferred back to the preferred leader
     hand_back,
 };
 
-/// @brief why a list of mechanisms can't be read
+/// @brief invalid list of mechanisms or parameters
 struct policy_error
 {
     std::string m_detail;
 };
 
-/// @brief the mechanisms that are switched off
+/// @brief the set of disabled mechanisms
 class policy_switches
 {
   public:
-    /// all at work
+    /// all mechanisms enabled
     policy_switches() = default;
 
-    /// @param[in] off  names of mechanisms, with commas between them; may be empty
-    /// Errors: policy_error names the unknown one and lists all.
+    /// @param[in] off  comma-separated names of mechanisms to disable; may be empty
+    /// Errors: policy_error names the unknown mechanism and lists the valid names.
     static Result<policy_switches> parse(absl::string_view off);
 
-    /// @return whether the mechanism is at work
     bool on(mechanism which) const;
 
-    /// @return the names of those that are switched off, with commas between them
+    /// @return the comma-separated names of the disabled mechanisms
     std::string off_names() const;
 
   private:
--- a/src/roles/readiness/readiness.cc
+++ b/src/roles/readiness/readiness.cc
@@ -5,7 +5,6 @@
 namespace
 {
 
-/// more than half
 bool most(std::size_t part, std::size_t whole)
 {
     return whole > 0 && 2 * part > whole;
--- a/src/roles/readiness/readiness.h
+++ b/src/roles/readiness/readiness.h
@@ -1,8 +1,8 @@
-// Whether this gateway should get new clients. Decision code: no I/O, no clock.
+// Decides whether this gateway reports ready. Decision logic: no I/O, no clock.
 //
-// A gateway that no longer reaches the turn ledger refuses every turn, while its neighbours serve them.
-// It says so, and its clients go elsewhere. It doesn't say so when the others don't reach the ledger
-// either: then the fault is the ledger's, and sending clients around would help nobody.
+// A gateway that alone has lost the turn ledger reports not ready, so that its clients move to gateways
+// that can serve them. If most of its peers have lost the ledger too, the outage is the ledger's, and
+// moving clients would not help: it stays ready.
 #pragma once
 
 #include <chrono>
@@ -12,54 +12,53 @@
 namespace martenyard::roles
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct readiness_options
 {
-    /// a group of the ledger that answered nothing for this long is silent, and peers are told so
+    /// a ledger group without a reply for this long counts as unresponsive
     std::chrono::milliseconds m_silent_after{450};
-    /// silent for this long: the gateway isn't ready any more
+    /// after most groups have not replied for this long, the gateway is not ready
     std::chrono::milliseconds m_lost_after{800};
-    /// the ledger answers again for this long: the gateway is ready again
+    /// after the ledger has answered again for this long, the gateway is ready again
     std::chrono::milliseconds m_regained_after{500};
 };
 
-/// @brief what a gateway sees of the ledger and hears of its peers
+/// @brief observed state of the ledger and the peers
 struct readiness_view
 {
     using instant = std::chrono::steady_clock::time_point;
 
     instant m_now;
-    /// groups of the ledger that are asked whether they are there
+    /// ledger groups that are probed
     std::size_t m_groups = 0;
-    /// of them, those silent for @ref readiness_options::m_silent_after
+    /// those of them that have not replied for @ref readiness_options::m_silent_after
     std::size_t m_silent_groups = 0;
-    /// other gateways that are known of
+    /// other known gateways
     std::size_t m_peers = 0;
-    /// of them, those that said lately that the ledger is silent for them too
+    /// those of them that recently reported that they have lost the ledger
     std::size_t m_peers_without_ledger = 0;
 };
 
-/// @brief turns views, one after the other, into ready or not
+/// @brief derives the readiness from successive observations
 class readiness
 {
   public:
     explicit readiness(const readiness_options& options = {});
 
-    /// @brief takes what is seen now
-    /// @return whether the gateway should get new clients
+    /// @return whether the gateway is ready
     bool judge(const readiness_view& view);
 
-    /// @return whether most of the ledger is silent for this gateway: what its peers are told
+    /// @return whether most ledger groups are unresponsive to this gateway; reported to its peers
     bool ledger_silent() const;
 
-    /// @return whether the last view showed that this gateway lost the ledger and most peers didn't
+    /// @return whether this gateway, but not most of its peers, has lost the ledger
     bool lost_alone() const;
 
   private:
     readiness_options m_options;
     bool m_ready = true;
     bool m_silent = false;
-    /// since when most groups are silent, or answer again
+    /// time of the last change of @ref m_silent
     std::optional<readiness_view::instant> m_since;
 };
 
--- a/tests/roles/memory_guard_test.cc
+++ b/tests/roles/memory_guard_test.cc
@@ -1,4 +1,4 @@
-// When a process near its limit of memory takes no new work.
+// memory_guard: hysteresis near the memory limit, and the measurement of allocated memory.
 #include "roles/memory/memory_guard.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
   memory_guard guard(1000);
   EXPECT_FALSE(guard.judge(790));
   EXPECT_TRUE(guard.judge(800));
-  EXPECT_TRUE(guard.judge(730)) << "still too near";
+  EXPECT_TRUE(guard.judge(730)) << "not yet below the lower threshold";
   EXPECT_FALSE(guard.judge(710));
   EXPECT_FALSE(guard.judge(790));
 }
--- a/tests/roles/peer_book_test.cc
+++ b/tests/roles/peer_book_test.cc
@@ -1,5 +1,4 @@
-// The storage machines that outlive a process: kept, found by identity, and faults of the disk
-// told.
+// The registry of peers: persistence, lookup by identity, and logging of disk errors.
 #include "roles/peer_book.h"
 
 #include <fcntl.h>
@@ -20,7 +19,8 @@
  protected:
   PeerBookTest()
       : log_file_(open("/tmp", O_TMPFILE | O_RDWR | O_CLOEXEC, 0600)), log_(log_file_, "store-1") {
-    std::string pattern = (std::filesystem::temp_directory_path() / "peer-book-XXXXXX").string();
+    std::string pattern =
+        (std::filesystem::temp_directory_path() / "peer-registry-XXXXXX").string();
     folder_ = mkdtemp(pattern.data());
   }
   ~PeerBookTest() override {
@@ -53,13 +53,13 @@
     EXPECT_TRUE(book.Note(Peer("a", 1)));
     EXPECT_TRUE(book.Note(Peer("b", 2)));
     EXPECT_FALSE(book.Note(Peer("b", 2)));
-    EXPECT_TRUE(book.Note(Peer("a", 3))) << "its disk was lost";
+    EXPECT_TRUE(book.Note(Peer("a", 3))) << "new identity after a disk loss";
   }
   PeerBook book(Path(), log_);
   EXPECT_EQ(book.machines().size(), 2U);
   ASSERT_NE(book.Find(NodeId(3)), nullptr);
   EXPECT_EQ(book.Find(NodeId(3))->name, "a");
-  EXPECT_EQ(book.Find(NodeId(1)), nullptr) << "an identity that is gone";
+  EXPECT_EQ(book.Find(NodeId(1)), nullptr) << "replaced identity";
   EXPECT_NE(Log().find("\"event\":\"peer_book_read\",\"machines\":2"), std::string::npos);
   EXPECT_EQ(Log().find("peer_book_un"), std::string::npos);
 }
--- a/tests/roles/peers/peer_link_test.cc
+++ b/tests/roles/peers/peer_link_test.cc
@@ -1,5 +1,5 @@
-// Two processes' links over sockets, and peers of earlier builds that a test plays: what a process asks is
-// said in words that the other one reads, whichever build that is and becomes.
+// peer_link over sockets, with peers of this build and simulated peers of earlier builds: each peer must get
+// requests in a layout that it reads, also after it restarts as another build.
 #include "roles/peers/peer_link.h"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
 using turn_ledger::LedgerRequest;
 using wire::Layout;
 
-/// A process of an earlier build: it reads and answers one layout, and drops all else.
+/// A process of an earlier build: reads and answers a single layout and drops other frames.
 class earlier_peer
 {
   public:
@@ -70,7 +70,7 @@
     wire::Endpoint m_endpoint;
 };
 
-/// A process of this build that answers each request.
+/// A process of this build; answers every request.
 class present_process
 {
   public:
@@ -158,7 +158,7 @@
         return condition();
     }
 
-    /// Asks as a caller does: again after a while without an answer. @return whether one came.
+    /// Sends a request with retries, as callers do. @return whether a reply arrived.
     bool ask(present_process& from, const wire::Endpoint& to, turn_ledger::Operation operation)
     {
         LedgerRequest request = layouts::ledger_request<LedgerRequest>(std::move(operation));
@@ -191,7 +191,7 @@
         {
             ASSERT_TRUE(ask(gateway, peer.endpoint(), layouts::reservation()));
         }
-        EXPECT_EQ(peer.m_requests.size(), 21U) << "each once, and one probe";
+        EXPECT_EQ(peer.m_requests.size(), 21U) << "each request once, and one probe";
         EXPECT_EQ(peer.m_unreadable, 2) << "the greeting, and a probe in the other layout";
         EXPECT_EQ(gateway.link().earlier_peers(), 1U);
     }
@@ -228,7 +228,7 @@
             return !gateway.m_unsupported.empty();
         }));
     gateway.link().ask(peer.endpoint(), request);
-    EXPECT_EQ(gateway.m_unsupported.size(), 2U) << "at once, now that the peer is known";
+    EXPECT_EQ(gateway.m_unsupported.size(), 2U) << "immediately, since the layout of the peer is known";
     EXPECT_EQ(peer.m_unreadable, 2);
 }
 
--- a/tests/roles/policy_switches_test.cc
+++ b/tests/roles/policy_switches_test.cc
@@ -1,4 +1,4 @@
-// The list of mechanisms that are switched off.
+// Parsing of the list of disabled mechanisms.
 #include "roles/policy/policy_switches.h"
 
 #include <gmock/gmock.h>
--- a/tests/roles/readiness_test.cc
+++ b/tests/roles/readiness_test.cc
@@ -1,4 +1,5 @@
-// When a gateway that lost the ledger sends its clients elsewhere, and when it must not.
+// A gateway that alone loses the ledger must report not ready; in a shared outage it must stay
+// ready.
 #include "roles/readiness/readiness.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 
 class ReadinessTest : public ::testing::Test {
  protected:
-  /// The same view for a while, looked at each 100 ms. @return what was said last.
+  /// Repeats the same observation every 100 ms for `time`. @return the last decision.
   bool For(milliseconds time, std::size_t silent_groups, std::size_t peers_without_ledger) {
     bool ready = true;
     for (auto end = view_.m_now + time; view_.m_now < end; view_.m_now += milliseconds(100)) {
@@ -27,20 +28,20 @@
 
 TEST_F(ReadinessTest, GatewayThatAloneLosesTheLedgerIsNotReadyUntilItAnswersForAWhile) {
   EXPECT_TRUE(For(milliseconds(1000), 0, 0));
-  EXPECT_TRUE(For(milliseconds(300), 8, 0)) << "an election takes as long";
+  EXPECT_TRUE(For(milliseconds(300), 8, 0)) << "an election may take this long";
   EXPECT_FALSE(readiness_.lost_alone());
   EXPECT_FALSE(For(milliseconds(500), 8, 0));
   EXPECT_TRUE(readiness_.lost_alone());
   EXPECT_TRUE(readiness_.ledger_silent());
-  EXPECT_FALSE(For(milliseconds(300), 0, 0)) << "one answer is no proof";
+  EXPECT_FALSE(For(milliseconds(300), 0, 0)) << "not yet answering for the regained interval";
   EXPECT_TRUE(For(milliseconds(500), 0, 0));
 }
 
 TEST_F(ReadinessTest, FaultThatMostPeersShareLeavesAllReady) {
   EXPECT_TRUE(For(milliseconds(5000), 8, 5));
-  EXPECT_TRUE(readiness_.ledger_silent()) << "but the peers are told";
-  EXPECT_FALSE(readiness_.lost_alone()) << "no call goes through a peer that can't make it either";
-  EXPECT_FALSE(For(milliseconds(1000), 8, 4)) << "the others reach it again";
+  EXPECT_TRUE(readiness_.ledger_silent()) << "still reported to the peers";
+  EXPECT_FALSE(readiness_.lost_alone()) << "no relays through peers that have lost the ledger too";
+  EXPECT_FALSE(For(milliseconds(1000), 8, 4)) << "most peers reach the ledger again";
   EXPECT_TRUE(For(milliseconds(100), 8, 5));
 }
 
