--- a/src/roles/exchange/member_registry.cc
+++ b/src/roles/exchange/member_registry.cc
@@ -4,7 +4,7 @@
 
 #include "absl/strings/str_cat.h"
 #include "roles/directory_keys.h"
-#include "roles/store_watches.h"
+#include "roles/store_watch_options.h"
 #include "wire/codec.h"
 
 namespace martenyard::roles
@@ -24,7 +24,7 @@
       m_zone(settings.zone),
       m_records(
           context, store, absl::StrCat(kGatewayMachines, settings.zone, "/"),
-          [](const store::StoreChange&) {}, [](bool, store::StoreStatus) {}, LongWatch(settings))
+          [](const store::StoreChange&) {}, [](bool, store::StoreStatus) {}, LongWatchOptions(settings))
 {
 }
 
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -12,7 +12,7 @@
 #include "forwarding/forwarder.h"
 #include "roles/contact_line.h"
 #include "roles/policy/knobs.h"
-#include "roles/store_watches.h"
+#include "roles/store_watch_options.h"
 #include "turn_ledger/groups/group_layout.h"
 #include "wire/codec.h"
 
@@ -46,11 +46,11 @@
 constexpr absl::Duration kNoticeLag = absl::Milliseconds(800);
 
 /// Batches the slot changes that occur together when a fleet starts.
-constexpr absl::Duration kSlotsWatchSpacing = absl::Milliseconds(500);
+constexpr absl::Duration kAggregatorWatchSpacing = absl::Milliseconds(500);
 
-store::MirrorOptions WatchSlowly(const RoleSettings& settings) {
-  store::MirrorOptions options = LongWatch(settings);
-  options.watch_spacing = kSlotsWatchSpacing;
+store::MirrorOptions AggregatorWatchOptions(const RoleSettings& settings) {
+  store::MirrorOptions options = LongWatchOptions(settings);
+  options.watch_spacing = kAggregatorWatchSpacing;
   return options;
 }
 
@@ -159,21 +159,21 @@
             exchange_.on_contact(reachable);
             OnContact("configuration", configuration_, reachable, status);
           },
-          ProvedWatch(settings)),
+          BoundedStalenessWatchOptions(settings)),
       runners_(
           loop.context(), store, formats.RunnersPrefix(),
           [this](const store::StoreChange& change) { OnRunnerChange(change); },
           [this](bool reachable, store::StoreStatus status) {
             OnContact("runners", runners_, reachable, status);
           },
-          ProvedWatch(settings)),
+          BoundedStalenessWatchOptions(settings)),
       ledger_directory_(
           loop.context(), store, kLedgerPrefix,
           [this](const store::StoreChange&) { OnLedgerDirectoryChange(); },
           [this](bool reachable, store::StoreStatus status) {
             OnContact("ledger directory", ledger_directory_, reachable, status);
           },
-          LongWatch(settings)),
+          LongWatchOptions(settings)),
       founders_(ledger_directory_, log),
       aggregators_(
           loop.context(), store, kAggregators,
@@ -181,7 +181,7 @@
           [this](bool reachable, store::StoreStatus status) {
             OnContact("aggregators", aggregators_, reachable, status);
           },
-          WatchSlowly(settings)),
+          AggregatorWatchOptions(settings)),
       exchange_(loop.context(), settings, store, transport_,
                 {configuration_, runners_, ledger_directory_, aggregators_}, *state_, log),
       ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }) {
--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_emptying.cc
@@ -8,7 +8,7 @@
 #include "absl/strings/strip.h"
 #include "roles/contact_line.h"
 #include "roles/directory_keys.h"
-#include "roles/store_watches.h"
+#include "roles/store_watch_options.h"
 
 namespace martenyard::roles
 {
@@ -51,7 +51,7 @@
           {
               m_log.Write(DescribeStoreContact("retirements", m_requests, reachable, status));
           },
-          OperatorWatch(settings))
+          RetirementWatchOptions(settings))
 {
 }
 
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -11,7 +11,7 @@
 #include "base/random.h"
 #include "roles/contact_line.h"
 #include "roles/ledger/ledger_lines.h"
-#include "roles/store_watches.h"
+#include "roles/store_watch_options.h"
 #include "wire/codec.h"
 
 namespace martenyard::roles {
@@ -88,8 +88,8 @@
 }
 
 /// Batches the registrations of all machines when the system starts.
-store::MirrorOptions DirectoryOptions(const RoleSettings& settings) {
-  store::MirrorOptions options = LongWatch(settings);
+store::MirrorOptions DirectoryWatchOptions(const RoleSettings& settings) {
+  store::MirrorOptions options = LongWatchOptions(settings);
   options.watch_spacing = absl::Milliseconds(500);
   return options;
 }
@@ -117,7 +117,7 @@
           [this](bool reachable, store::StoreStatus status) {
             log_.Write(DescribeStoreContact("directory", directory_, reachable, status));
           },
-          DirectoryOptions(settings)),
+          DirectoryWatchOptions(settings)),
       founders_(directory_, log),
       emptying_(
           loop.context(), settings, formats, store, directory_, founders_, log,
--- /dev/null
+++ b/src/roles/store_watch_options.cc
@@ -0,0 +1,38 @@
+#include "roles/store_watch_options.h"
+
+#include <algorithm>
+
+namespace martenyard::roles {
+namespace {
+
+/// The propagation bound does not apply to a machine that has just lost its connection, so a lost
+/// watch may be detected within 1.5 times that bound.
+constexpr double kDetectionFactor = 1.5;
+/// Retiring a machine may take about 9 s in all, so a lost watch must be detected sooner.
+constexpr absl::Duration kRetirementWatchTimeout = absl::Seconds(5);
+
+}  // namespace
+
+store::MirrorOptions BoundedStalenessWatchOptions(const RoleSettings& settings) {
+  absl::Duration propagation_bound = std::min(settings.configuration_apply, settings.drain);
+  absl::Duration detection_bound = std::min(settings.contact, propagation_bound * kDetectionFactor);
+  store::MirrorOptions options;
+  options.watch_patience = std::min(store::WatchPatienceWithin(detection_bound),
+                                    store::WatchPatience(settings.store_history));
+  return options;
+}
+
+store::MirrorOptions LongWatchOptions(const RoleSettings& settings) {
+  store::MirrorOptions options;
+  options.watch_patience = store::WatchPatience(settings.store_history);
+  return options;
+}
+
+store::MirrorOptions RetirementWatchOptions(const RoleSettings& settings) {
+  store::MirrorOptions options;
+  options.watch_patience =
+      std::min(kRetirementWatchTimeout, store::WatchPatience(settings.store_history));
+  return options;
+}
+
+}  // namespace martenyard::roles
--- a/src/roles/store_watches.h
+++ b/src/roles/store_watch_options.h
@@ -13,13 +13,13 @@
 namespace martenyard::roles {
 
 /// For the configuration and the runners: bounded staleness.
-store::MirrorOptions ProvedWatch(const RoleSettings& settings);
+store::MirrorOptions BoundedStalenessWatchOptions(const RoleSettings& settings);
 
 /// For the system's own directory: the longest timeout that the store's history allows.
-store::MirrorOptions LongWatch(const RoleSettings& settings);
+store::MirrorOptions LongWatchOptions(const RoleSettings& settings);
 
 /// For retirement requests to storage machines. Operators wait for them, and no other watch of a
 /// storage machine detects within seconds that the store did not answer.
-store::MirrorOptions OperatorWatch(const RoleSettings& settings);
+store::MirrorOptions RetirementWatchOptions(const RoleSettings& settings);
 
 }  // namespace martenyard::roles
