--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -10,8 +10,8 @@
 #include "absl/strings/strip.h"
 #include "base/clock.h"
 #include "forwarding/forwarder.h"
-#include "roles/contact_line.h"
 #include "roles/policy/knobs.h"
+#include "roles/store_reachability_line.h"
 #include "roles/store_watch_options.h"
 #include "turn_ledger/groups/group_layout.h"
 #include "wire/codec.h"
@@ -157,21 +157,21 @@
           [this](const store::StoreChange& change) { OnConfigurationChange(change); },
           [this](bool reachable, store::StoreStatus status) {
             exchange_.on_contact(reachable);
-            OnContact("configuration", configuration_, reachable, status);
+            OnStoreReachability("configuration", configuration_, reachable, status);
           },
           BoundedStalenessWatchOptions(settings)),
       runners_(
           loop.context(), store, formats.RunnersPrefix(),
           [this](const store::StoreChange& change) { OnRunnerChange(change); },
           [this](bool reachable, store::StoreStatus status) {
-            OnContact("runners", runners_, reachable, status);
+            OnStoreReachability("runners", runners_, reachable, status);
           },
           BoundedStalenessWatchOptions(settings)),
       ledger_directory_(
           loop.context(), store, kLedgerPrefix,
           [this](const store::StoreChange&) { OnLedgerDirectoryChange(); },
           [this](bool reachable, store::StoreStatus status) {
-            OnContact("ledger directory", ledger_directory_, reachable, status);
+            OnStoreReachability("ledger directory", ledger_directory_, reachable, status);
           },
           LongWatchOptions(settings)),
       founders_(ledger_directory_, log),
@@ -179,7 +179,7 @@
           loop.context(), store, kAggregators,
           [this](const store::StoreChange&) { exchange_.on_slots_change(); },
           [this](bool reachable, store::StoreStatus status) {
-            OnContact("aggregators", aggregators_, reachable, status);
+            OnStoreReachability("aggregators", aggregators_, reachable, status);
           },
           AggregatorWatchOptions(settings)),
       exchange_(loop.context(), settings, store, transport_,
@@ -239,9 +239,9 @@
 
 // ---- Store changes ----
 
-void GatewayRole::OnContact(const char* what, const store::PrefixMirror& mirror, bool reachable,
-                            store::StoreStatus status) {
-  log_.Write(DescribeStoreContact(what, mirror, reachable, status));
+void GatewayRole::OnStoreReachability(const char* label, const store::PrefixMirror& mirror,
+                                      bool reachable, store::StoreStatus status) {
+  log_.Write(DescribeStoreReachability(label, mirror, reachable, status));
   if (reachable) {
     exchange_.on_store_back();
   }
--- a/src/roles/gateway_role.h
+++ b/src/roles/gateway_role.h
@@ -56,8 +56,8 @@
   /// Schedules one layout update for all directory changes of the current loop round.
   void OnLedgerDirectoryChange();
   void LayOutLedger();
-  void OnContact(const char* what, const store::PrefixMirror& mirror, bool reachable,
-                 store::StoreStatus status);
+  void OnStoreReachability(const char* label, const store::PrefixMirror& mirror, bool reachable,
+                           store::StoreStatus status);
   void SetStoreMetrics();
   /// Tells the ledger clients which machines to contact for each group.
   void SetLedgerGroups(const std::vector<turn_ledger::Machine>& machines);
--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_emptying.cc
@@ -6,8 +6,8 @@
 
 #include "absl/strings/str_cat.h"
 #include "absl/strings/strip.h"
-#include "roles/contact_line.h"
 #include "roles/directory_keys.h"
+#include "roles/store_reachability_line.h"
 #include "roles/store_watch_options.h"
 
 namespace martenyard::roles
@@ -49,7 +49,7 @@
           },
           [this](bool reachable, store::StoreStatus status)
           {
-              m_log.Write(DescribeStoreContact("retirements", m_requests, reachable, status));
+              m_log.Write(DescribeStoreReachability("retirements", m_requests, reachable, status));
           },
           RetirementWatchOptions(settings))
 {
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -9,8 +9,8 @@
 #include "absl/strings/strip.h"
 #include "base/clock.h"
 #include "base/random.h"
-#include "roles/contact_line.h"
 #include "roles/ledger/ledger_lines.h"
+#include "roles/store_reachability_line.h"
 #include "roles/store_watch_options.h"
 #include "wire/codec.h"
 
@@ -115,7 +115,7 @@
           loop.context(), store, kLedgerPrefix,
           [this](const store::StoreChange& change) { OnDirectoryChange(change); },
           [this](bool reachable, store::StoreStatus status) {
-            log_.Write(DescribeStoreContact("directory", directory_, reachable, status));
+            log_.Write(DescribeStoreReachability("directory", directory_, reachable, status));
           },
           DirectoryWatchOptions(settings)),
       founders_(directory_, log),
--- a/src/roles/contact_line.h
+++ b/src/roles/store_reachability_line.h
@@ -7,9 +7,9 @@
 namespace martenyard::roles {
 
 /// @return the line that logs that a mirror lost or regained its connection to the store.
-/// @param what the content of the mirror, as operators know it.
+/// @param label the content of the mirror, as operators know it.
 /// @param status the result of the store call that showed it.
-event_log::Line DescribeStoreContact(const char* what, const store::PrefixMirror& mirror,
-                                     bool reachable, store::StoreStatus status);
+event_log::Line DescribeStoreReachability(const char* label, const store::PrefixMirror& mirror,
+                                          bool reachable, store::StoreStatus status);
 
 }  // namespace martenyard::roles
