--- a/src/roles/exchange/member_registry.cc
+++ b/src/roles/exchange/member_registry.cc
@@ -23,8 +23,8 @@
       m_node(settings.node),
       m_zone(settings.zone),
       m_records(
-          context, store, absl::StrCat(kGatewayMachines, settings.zone, "/"),
-          [](const store::StoreChange&) {}, [](bool, store::StoreStatus) {}, LongWatchOptions(settings))
+          context, store, absl::StrCat(kGatewaysPrefix, settings.zone, "/"), [](const store::StoreChange&) {},
+          [](bool, store::StoreStatus) {}, LongWatchOptions(settings))
 {
 }
 
--- a/src/roles/exchange/slot_records.cc
+++ b/src/roles/exchange/slot_records.cc
@@ -12,7 +12,7 @@
 
 std::string slot_key(const std::string& zone, std::size_t number)
 {
-    return absl::StrCat(kAggregators, zone, "/", number);
+    return absl::StrCat(kAggregatorsPrefix, zone, "/", number);
 }
 
 aggregation::slot_table read_slots(const std::map<std::string, store::StoreItem>& items,
@@ -22,7 +22,7 @@
     for (const auto& [key, item] : items)
     {
         absl::string_view rest = key;
-        absl::ConsumePrefix(&rest, kAggregators);
+        absl::ConsumePrefix(&rest, kAggregatorsPrefix);
         std::size_t slash = rest.rfind('/');
         std::size_t number = 0;
         bool named = slash != absl::string_view::npos && absl::SimpleAtoi(rest.substr(slash + 1), &number);
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -176,7 +176,7 @@
           LongWatchOptions(settings)),
       founders_(ledger_directory_, log),
       aggregators_(
-          loop.context(), store, kAggregators,
+          loop.context(), store, kAggregatorsPrefix,
           [this](const store::StoreChange&) { exchange_.on_slots_change(); },
           [this](bool reachable, store::StoreStatus status) {
             OnStoreReachability("aggregators", aggregators_, reachable, status);
@@ -340,7 +340,7 @@
 void GatewayRole::LayOutLedger() {
   std::vector<Machine> machines;
   for (const auto& [key, item] : ledger_directory_.items()) {
-    if (!absl::StartsWith(key, kLedgerMachines)) {
+    if (!absl::StartsWith(key, kLedgerMachinesPrefix)) {
       continue;  // Not a machine record.
     }
     auto machine = wire::Decode<Machine>(item.value);
--- a/src/roles/ledger/founders_record.cc
+++ b/src/roles/ledger/founders_record.cc
@@ -13,7 +13,7 @@
 
 const turn_ledger::group_layout* founders_record::layout()
 {
-    auto record = m_directory.items().find(kLedgerGroups);
+    auto record = m_directory.items().find(kLedgerGroupsKey);
     if (record == m_directory.items().end())
     {
         return nullptr;
@@ -24,7 +24,7 @@
         m_layout = wire::Decode<turn_ledger::group_layout>(record->second.value);
         if (!m_layout)
         {
-            m_log.Write(event_log::Line("directory_record_unreadable").Text("key", kLedgerGroups));
+            m_log.Write(event_log::Line("directory_record_unreadable").Text("key", kLedgerGroupsKey));
         }
     }
     return m_layout ? &*m_layout : nullptr;
--- a/src/roles/ledger/kept_copies.cc
+++ b/src/roles/ledger/kept_copies.cc
@@ -58,7 +58,7 @@
       m_options(options),
       m_configuration(context, store, formats.ConfigurationKey(), ignore_change, ignore_contact),
       m_runners(context, store, formats.RunnersPrefix(), ignore_change, ignore_contact),
-      m_aggregators(context, store, kAggregators, ignore_change, ignore_contact),
+      m_aggregators(context, store, kAggregatorsPrefix, ignore_change, ignore_contact),
       m_copies{&m_configuration, &m_runners, &directory, &m_aggregators},
       m_sender(transport, m_copies, std::move(self))
 {
--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_emptying.cc
@@ -24,7 +24,7 @@
 
 std::string note_key(const std::string& machine, GroupId group)
 {
-    return absl::StrCat(kLedgerEmptied, machine, "/", group.value);
+    return absl::StrCat(kRetiredMachinesPrefix, machine, "/", group.value);
 }
 
 }  // namespace
@@ -127,7 +127,7 @@
     for (const auto& [key, item] : m_directory.items())
     {
         absl::string_view name = key;
-        bool of_group = absl::ConsumePrefix(&name, kLedgerEmptied) &&
+        bool of_group = absl::ConsumePrefix(&name, kRetiredMachinesPrefix) &&
                         absl::ConsumeSuffix(&name, absl::StrCat("/", group.value));
         if (of_group)
         {
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -667,7 +667,7 @@
 
 void LedgerRole::OnDirectoryChange(const store::StoreChange& change) {
   absl::string_view key = change.key;
-  if (!change.value || !absl::ConsumePrefix(&key, kLedgerMachines)) {
+  if (!change.value || !absl::ConsumePrefix(&key, kLedgerMachinesPrefix)) {
     return;
   }
   if (auto machine = wire::Decode<Machine>(*change.value)) {
@@ -679,7 +679,7 @@
 }
 
 Task<void> LedgerRole::Register() {
-  std::string key = absl::StrCat(kLedgerMachines, settings_.node);
+  std::string key = absl::StrCat(kLedgerMachinesPrefix, settings_.node);
   while (true) {
     auto present = directory_.items().find(key);
     bool known = present != directory_.items().end();
@@ -734,7 +734,7 @@
     if (!directory_.complete()) {
       continue;
     }
-    if (directory_.items().contains(kLedgerGroups)) {
+    if (directory_.items().contains(kLedgerGroupsKey)) {
       FoundFromRecord();
       continue;
     }
@@ -743,7 +743,7 @@
     }
     std::vector<Machine> machines;
     for (const auto& [key, item] : directory_.items()) {
-      if (!absl::StartsWith(key, kLedgerMachines)) {
+      if (!absl::StartsWith(key, kLedgerMachinesPrefix)) {
         continue;  // Not a machine record.
       }
       if (auto machine = wire::Decode<Machine>(item.value)) {
@@ -763,9 +763,9 @@
       continue;
     }
     store::Transaction transaction;
-    transaction.conditions.push_back({kLedgerGroups, 0});
+    transaction.conditions.push_back({kLedgerGroupsKey, 0});
     transaction.puts.push_back(
-        {kLedgerGroups, wire::Encode(turn_ledger::layout_groups(machines, wanted)), 0});
+        {kLedgerGroupsKey, wire::Encode(turn_ledger::layout_groups(machines, wanted)), 0});
     co_await store_.Commit(std::move(transaction));
   }
 }
