--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -574,7 +574,7 @@
 
 void LedgerRole::OnHello(const turn_ledger::Hello& hello) {
   for (const Machine& machine : hello.known) {
-    if (!peers_.Knows(machine.name)) {
+    if (!peers_.Contains(machine.name)) {
       NoteMachine(machine, /*heard_now=*/false);
     }
   }
@@ -585,9 +585,9 @@
     return;
   }
   if (heard_now) {
-    peers_.NoteHeard(machine.name);
+    peers_.MarkHeardFrom(machine.name);
   }
-  bool changed = peers_.Note(machine);
+  bool changed = peers_.Update(machine);
   if (changed) {
     log_.Write(Line("machine_known")
                    .Text("machine", machine.name)
@@ -672,7 +672,7 @@
   }
   if (auto machine = wire::Decode<Machine>(*change.value)) {
     // The store's record may be older than what the machine itself sent to this process.
-    if (!peers_.HasHeard(machine->name)) {
+    if (!peers_.HasHeardFrom(machine->name)) {
       NoteMachine(*machine, /*heard_now=*/false);
     }
   }
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -18,7 +18,7 @@
 #include "roles/ledger/machine_emptying.h"
 #include "roles/ledger/work_account.h"
 #include "roles/memory/memory_guard.h"
-#include "roles/peer_book.h"
+#include "roles/peer_registry.h"
 #include "roles/peers/peer_link.h"
 #include "roles/platform_formats.h"
 #include "roles/role_settings.h"
@@ -125,7 +125,7 @@
   founders_record founders_;
   machine_emptying emptying_;
   kept_copies copies_;
-  PeerBook peers_;
+  PeerRegistry peers_;
   Ticker ticker_;
 
   NodeId identity_;
--- a/src/roles/peer_book.cc
+++ b/src/roles/peer_registry.cc
@@ -1,4 +1,4 @@
-#include "roles/peer_book.h"
+#include "roles/peer_registry.h"
 
 #include <optional>
 #include <utility>
@@ -11,30 +11,31 @@
 
 using turn_ledger::Machine;
 
-PeerBook::PeerBook(std::string path, event_log::EventLog& log) : path_(std::move(path)), log_(log) {
+PeerRegistry::PeerRegistry(std::string path, event_log::EventLog& log)
+    : path_(std::move(path)), log_(log) {
   Load();
 }
 
-bool PeerBook::Note(const Machine& machine) {
+bool PeerRegistry::Update(const Machine& machine) {
   auto known = machines_.find(machine.name);
   if (known != machines_.end() && known->second == machine) {
     return false;
   }
   if (known != machines_.end()) {
-    names_.erase(known->second.identity);
+    names_by_identity_.erase(known->second.identity);
   }
   machines_[machine.name] = machine;
-  names_[machine.identity] = machine.name;
+  names_by_identity_[machine.identity] = machine.name;
   Save();
   return true;
 }
 
-const Machine* PeerBook::Find(NodeId identity) const {
-  auto name = names_.find(identity);
-  return name == names_.end() ? nullptr : &machines_.at(name->second);
+const Machine* PeerRegistry::Find(NodeId identity) const {
+  auto name = names_by_identity_.find(identity);
+  return name == names_by_identity_.end() ? nullptr : &machines_.at(name->second);
 }
 
-void PeerBook::Load() {
+void PeerRegistry::Load() {
   std::optional<std::string> bytes = storage::ReadSmallFile(path_);
   if (!bytes) {
     return;  // First start on this disk.
@@ -49,12 +50,12 @@
                  .Number("machines", static_cast<std::int64_t>(machines->size())));
   for (Machine& machine : *machines) {
     std::string name = machine.name;
-    names_[machine.identity] = name;
+    names_by_identity_[machine.identity] = name;
     machines_[name] = std::move(machine);
   }
 }
 
-void PeerBook::Save() const {
+void PeerRegistry::Save() const {
   std::vector<Machine> machines;
   for (const auto& [name, machine] : machines_) {
     machines.push_back(machine);
--- a/src/roles/peer_book.h
+++ b/src/roles/peer_registry.h
@@ -10,20 +10,20 @@
 
 namespace martenyard::roles {
 
-class PeerBook {
+class PeerRegistry {
  public:
   /// Loads the registry. A missing file yields an empty registry, and so does an unreadable one,
   /// which is logged. A failed write is logged: after a restart, the peers are read from the store
   /// again.
-  PeerBook(std::string path, event_log::EventLog& log);
+  PeerRegistry(std::string path, event_log::EventLog& log);
 
   /// Adds or updates a machine. @return whether anything changed.
-  bool Note(const turn_ledger::Machine& machine);
+  bool Update(const turn_ledger::Machine& machine);
   /// Notes that this process received a message from the machine itself, whose data take precedence
   /// over the directory's.
-  void NoteHeard(const std::string& name) { heard_.insert(name); }
-  bool HasHeard(const std::string& name) const { return heard_.contains(name); }
-  bool Knows(const std::string& name) const { return machines_.contains(name); }
+  void MarkHeardFrom(const std::string& name) { heard_from_.insert(name); }
+  bool HasHeardFrom(const std::string& name) const { return heard_from_.contains(name); }
+  bool Contains(const std::string& name) const { return machines_.contains(name); }
   /// @return the machine with this identity, or null.
   const turn_ledger::Machine* Find(NodeId identity) const;
   const std::map<std::string, turn_ledger::Machine>& machines() const { return machines_; }
@@ -35,8 +35,8 @@
   std::string path_;
   event_log::EventLog& log_;
   std::map<std::string, turn_ledger::Machine> machines_;  // By name.
-  std::map<NodeId, std::string> names_;                   // By identity.
-  std::set<std::string> heard_;
+  std::map<NodeId, std::string> names_by_identity_;
+  std::set<std::string> heard_from_;
 };
 
 }  // namespace martenyard::roles
--- a/tests/roles/peer_book_test.cc
+++ b/tests/roles/peer_registry_test.cc
@@ -1,5 +1,5 @@
 // The registry of peers: persistence, lookup by identity, and logging of disk errors.
-#include "roles/peer_book.h"
+#include "roles/peer_registry.h"
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -15,19 +15,19 @@
 
 using turn_ledger::Machine;
 
-class PeerBookTest : public ::testing::Test {
+class PeerRegistryTest : public ::testing::Test {
  protected:
-  PeerBookTest()
+  PeerRegistryTest()
       : log_file_(open("/tmp", O_TMPFILE | O_RDWR | O_CLOEXEC, 0600)), log_(log_file_, "store-1") {
     std::string pattern =
         (std::filesystem::temp_directory_path() / "peer-registry-XXXXXX").string();
     folder_ = mkdtemp(pattern.data());
   }
-  ~PeerBookTest() override {
+  ~PeerRegistryTest() override {
     std::filesystem::remove_all(folder_);
     close(log_file_);
   }
-  Machine Peer(const std::string& name, std::uint64_t identity) {
+  Machine MakePeer(const std::string& name, std::uint64_t identity) {
     Machine machine;
     machine.name = name;
     machine.identity = NodeId(identity);
@@ -47,38 +47,38 @@
   std::string folder_;
 };
 
-TEST_F(PeerBookTest, MachinesOutliveTheProcessAndAreFoundByIdentity) {
+TEST_F(PeerRegistryTest, PersistsMachinesAndFindsThemByIdentity) {
   {
-    PeerBook book(Path(), log_);
-    EXPECT_TRUE(book.Note(Peer("a", 1)));
-    EXPECT_TRUE(book.Note(Peer("b", 2)));
-    EXPECT_FALSE(book.Note(Peer("b", 2)));
-    EXPECT_TRUE(book.Note(Peer("a", 3))) << "new identity after a disk loss";
+    PeerRegistry registry(Path(), log_);
+    EXPECT_TRUE(registry.Update(MakePeer("a", 1)));
+    EXPECT_TRUE(registry.Update(MakePeer("b", 2)));
+    EXPECT_FALSE(registry.Update(MakePeer("b", 2)));
+    EXPECT_TRUE(registry.Update(MakePeer("a", 3))) << "new identity after a disk loss";
   }
-  PeerBook book(Path(), log_);
-  EXPECT_EQ(book.machines().size(), 2U);
-  ASSERT_NE(book.Find(NodeId(3)), nullptr);
-  EXPECT_EQ(book.Find(NodeId(3))->name, "a");
-  EXPECT_EQ(book.Find(NodeId(1)), nullptr) << "replaced identity";
+  PeerRegistry registry(Path(), log_);
+  EXPECT_EQ(registry.machines().size(), 2U);
+  ASSERT_NE(registry.Find(NodeId(3)), nullptr);
+  EXPECT_EQ(registry.Find(NodeId(3))->name, "a");
+  EXPECT_EQ(registry.Find(NodeId(1)), nullptr) << "replaced identity";
   EXPECT_NE(Log().find("\"event\":\"peer_book_read\",\"machines\":2"), std::string::npos);
   EXPECT_EQ(Log().find("peer_book_un"), std::string::npos);
 }
 
-TEST_F(PeerBookTest, TornFileIsAnEmptyBookAndIsTold) {
+TEST_F(PeerRegistryTest, TruncatedFileYieldsEmptyRegistryAndIsLogged) {
   {
-    PeerBook book(Path(), log_);
-    book.Note(Peer("a", 1));
+    PeerRegistry registry(Path(), log_);
+    registry.Update(MakePeer("a", 1));
   }
   std::filesystem::resize_file(Path(), std::filesystem::file_size(Path()) / 2);
-  PeerBook book(Path(), log_);
-  EXPECT_TRUE(book.machines().empty());
+  PeerRegistry registry(Path(), log_);
+  EXPECT_TRUE(registry.machines().empty());
   EXPECT_NE(Log().find("peer_book_unreadable"), std::string::npos);
 }
 
-TEST_F(PeerBookTest, BookThatCanNotBeWrittenIsToldAndStillKnown) {
-  PeerBook book(folder_ + "/missing/peers", log_);
-  EXPECT_TRUE(book.Note(Peer("a", 1)));
-  EXPECT_NE(book.Find(NodeId(1)), nullptr);
+TEST_F(PeerRegistryTest, FailedWriteIsLoggedAndMachineStaysKnown) {
+  PeerRegistry registry(folder_ + "/missing/peers", log_);
+  EXPECT_TRUE(registry.Update(MakePeer("a", 1)));
+  EXPECT_NE(registry.Find(NodeId(1)), nullptr);
   EXPECT_NE(Log().find("peer_book_unsaved"), std::string::npos);
 }
 
