--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -185,9 +185,9 @@
       exchange_(loop.context(), settings, store, transport_,
                 {configuration_, runners_, ledger_directory_, aggregators_}, *state_, log),
       ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }) {
-  state_->options.gone_usable = LeavingRunnerUse(settings.drain);
+  state_->options.gone_usable = LeavingRunnerUse(settings.runner_drain_period);
   ApplyPolicy(settings.policy, *state_);
-  ApplyKnobs(settings.knobs, *state_);
+  ApplyKnobs(settings.policy_parameters, *state_);
   state_->ledger = std::make_unique<turn_ledger::LedgerClient>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::LedgerRequest& request) {
@@ -212,9 +212,9 @@
   settings_.internal_port = bound.port;
   transport_.LimitUnsent(settings_.memory_bytes / kMemoryShareForFrames);
   frontend_.limits().buffered_body_bytes = settings_.memory_bytes / kMemoryShareForBodies;
-  frontend_.limits().connections = settings_.descriptors > 2 * kDescriptorsKept
-                                       ? settings_.descriptors - kDescriptorsKept
-                                       : settings_.descriptors / 2;
+  frontend_.limits().connections = settings_.max_descriptors > 2 * kDescriptorsKept
+                                       ? settings_.max_descriptors - kDescriptorsKept
+                                       : settings_.max_descriptors / 2;
   BOOST_LEAF_CHECK(frontend_.Listen(settings_.frontend));
   BOOST_LEAF_CHECK(readiness_.Listen(settings_.readiness));
   if (settings_.metrics) {
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -55,7 +55,7 @@
 constexpr char kPeersFile[] = "peers";
 
 std::size_t WantedReplicas(const RoleSettings& settings) {
-  return 2 * settings.tolerated_machines + 1;
+  return 2 * settings.tolerated_failures + 1;
 }
 
 /// Scaled up on machines with little CPU, whose uninterruptible steps (reading a log, applying
--- a/src/roles/role_settings.h
+++ b/src/roles/role_settings.h
@@ -28,15 +28,15 @@
   std::vector<wire::Endpoint> seeds;
   std::string data_folder;             ///< Empty on machines without a disk.
   bool first_start = false;            ///< First start of the whole deployment.
-  std::size_t tolerated_machines = 1;  ///< Simultaneous storage machine failures.
+  std::size_t tolerated_failures = 1;  ///< Simultaneous storage machine failures.
   std::uint64_t memory_bytes = std::uint64_t{220} << 20;
-  std::size_t descriptors = 4000;
+  std::size_t max_descriptors = 4000;
   double processor_share = 1.0;                  ///< CPU limit of this machine, in cores.
   absl::Duration stop_grace = absl::Seconds(8);  ///< From SIGTERM to SIGKILL.
   /// How long draining runners accept requests.
-  absl::Duration drain = absl::Seconds(2);
+  absl::Duration runner_drain_period = absl::Seconds(2);
   /// After the end of a store or network outage, until all processes must be up to date again.
-  absl::Duration contact = absl::Seconds(3);
+  absl::Duration recovery_bound = absl::Seconds(3);
   /// From the store's acceptance of a configuration until it must be in effect.
   absl::Duration configuration_apply = absl::Seconds(2);
   /// Nominal retention of the store's change history; the store may compact it sooner.
@@ -44,7 +44,7 @@
   tenancy::revocation_bound revocation;  ///< How soon a revoked API key is rejected.
   tenancy::quota_bounds quota;           ///< Accuracy of the tenants' limits.
   /// Comma-separated name=value pairs; see policy/knobs.h.
-  std::string knobs;
+  std::string policy_parameters;
   policy_switches policy;  ///< For experiments; all mechanisms are enabled by default.
 };
 
--- a/src/roles/store_watch_options.cc
+++ b/src/roles/store_watch_options.cc
@@ -14,8 +14,10 @@
 }  // namespace
 
 store::MirrorOptions BoundedStalenessWatchOptions(const RoleSettings& settings) {
-  absl::Duration propagation_bound = std::min(settings.configuration_apply, settings.drain);
-  absl::Duration detection_bound = std::min(settings.contact, propagation_bound * kDetectionFactor);
+  absl::Duration propagation_bound =
+      std::min(settings.configuration_apply, settings.runner_drain_period);
+  absl::Duration detection_bound =
+      std::min(settings.recovery_bound, propagation_bound * kDetectionFactor);
   store::MirrorOptions options;
   options.watch_patience = std::min(store::WatchPatienceWithin(detection_bound),
                                     store::WatchPatience(settings.store_history));
--- a/tests/platform/support/platform_world.cc
+++ b/tests/platform/support/platform_world.cc
@@ -66,7 +66,7 @@
   roles::RoleSettings settings;
   settings.zone = "near";
   settings.address = "127.0.0.1";
-  settings.tolerated_machines = 0;
+  settings.tolerated_failures = 0;
   settings.first_start = remains.first_start;
   settings.data_folder = remains.data_folder;
   settings.node = "storage-1";
