--- a/src/roles/ticker.cc
+++ b/src/roles/ticker.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// A longer time between two ticks is logged as a stall of the process.
-constexpr absl::Duration kStandstill = absl::Milliseconds(500);
+constexpr absl::Duration kStallThreshold = absl::Milliseconds(500);
 
 }  // namespace
 
@@ -17,18 +17,18 @@
     : loop_(loop), period_(period), log_(log), on_tick_(std::move(on_tick)) {}
 
 void Ticker::Start() {
-  last_ = SteadyNow();
+  last_tick_ = SteadyNow();
   Schedule();
 }
 
 void Ticker::Schedule() {
   loop_.After(period_, [this] {
     absl::Time now = SteadyNow();
-    if (now - last_ > kStandstill) {
+    if (now - last_tick_ > kStallThreshold) {
       event_log::Line line("standstill");
-      log_.Write(line.Number("ms", absl::ToInt64Milliseconds(now - last_)));
+      log_.Write(line.Number("ms", absl::ToInt64Milliseconds(now - last_tick_)));
     }
-    last_ = now;
+    last_tick_ = now;
     on_tick_(now);
     Schedule();
   });
--- a/src/roles/ticker.h
+++ b/src/roles/ticker.h
@@ -24,7 +24,7 @@
   absl::Duration period_;
   event_log::EventLog& log_;
   std::function<void(absl::Time now)> on_tick_;
-  absl::Time last_;
+  absl::Time last_tick_;
 };
 
 }  // namespace martenyard::roles
