--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -24,26 +24,26 @@
 
 namespace {
 
-constexpr absl::Duration kTick = absl::Milliseconds(100);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
 constexpr absl::Duration kHousekeepingInterval = absl::Seconds(1);
-constexpr absl::Duration kKeepGoneRunners = absl::Seconds(10);
+constexpr absl::Duration kGoneRunnerRetention = absl::Seconds(10);
 /// A ledger group without a reply for this long is probed.
 constexpr absl::Duration kProbeAfter = absl::Milliseconds(250);
-constexpr std::size_t kMostRelays = 4;
+constexpr std::size_t kMaxRelays = 4;
 /// Load balancers keep sending new connections until two readiness checks have failed.
-constexpr absl::Duration kLeastDrain = absl::Seconds(3);
+constexpr absl::Duration kMinDrain = absl::Seconds(3);
 /// Margin between the end of the process and the platform's SIGKILL.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(700);
 /// Limits buffered request bodies to 1/4 of the memory limit.
-constexpr std::uint64_t kMemoryShareForBodies = 4;
+constexpr std::uint64_t kBodyMemoryDivisor = 4;
 /// Limits unsent frames to peers to 1/16 of the memory limit.
-constexpr std::uint64_t kMemoryShareForFrames = 16;
-constexpr std::size_t kDescriptorsKept = 1200;  // For runners, peers, files and the store.
+constexpr std::uint64_t kFrameMemoryDivisor = 16;
+constexpr std::size_t kReservedDescriptors = 1200;  // For runners, peers, files and the store.
 
 /// Upper bound on the time between the store's acceptance of a drain notice and the arrival at the
 /// runner of a request sent before the gateway learned of it: watch spacing, propagation between
 /// gateways, and network delay.
-constexpr absl::Duration kNoticeLag = absl::Milliseconds(800);
+constexpr absl::Duration kDrainNoticeLag = absl::Milliseconds(800);
 
 /// Batches the slot changes that occur together when a fleet starts.
 constexpr absl::Duration kAggregatorWatchSpacing = absl::Milliseconds(500);
@@ -59,20 +59,20 @@
 namespace {
 
 /// Adjusts the options for the disabled mechanisms.
-void ApplyPolicy(const policy_switches& policy, forwarding::GatewayState& state) {
+void DisableMechanisms(const policy_switches& policy, forwarding::GatewayState& state) {
   forwarding::ForwardingOptions& options = state.options;
   forwarding::ChoiceOptions& choice = options.choice;
-  auto drop = [&policy](mechanism which, std::initializer_list<double*> costs) {
+  auto zero_if_disabled = [&policy](mechanism which, std::initializer_list<double*> costs) {
     for (double* cost : costs) {
       *cost = policy.on(which) ? *cost : 0;
     }
   };
-  drop(mechanism::zone_cost, {&choice.other_zone_ms});
-  drop(mechanism::home, {&choice.home_ms});
-  drop(mechanism::waiting_cost, {&choice.engine_wait_ms, &choice.plain_wait_ms});
-  drop(mechanism::active_cost, {&choice.active_cost_ms, &choice.plain_active_cost_ms});
-  drop(mechanism::loss_rates,
-       {&choice.repeatable_loss_ms, &choice.turn_loss_ms, &choice.call_loss_ms});
+  zero_if_disabled(mechanism::zone_cost, {&choice.other_zone_ms});
+  zero_if_disabled(mechanism::home, {&choice.home_ms});
+  zero_if_disabled(mechanism::waiting_cost, {&choice.engine_wait_ms, &choice.plain_wait_ms});
+  zero_if_disabled(mechanism::active_cost, {&choice.active_cost_ms, &choice.plain_active_cost_ms});
+  zero_if_disabled(mechanism::loss_rates,
+                   {&choice.repeatable_loss_ms, &choice.turn_loss_ms, &choice.call_loss_ms});
   if (!policy.on(mechanism::kept_prompts)) {
     choice.tokens_per_ms = std::numeric_limits<double>::infinity();
   }
@@ -117,8 +117,8 @@
 
 }  // namespace
 
-absl::Duration LeavingRunnerUse(absl::Duration drain) {
-  return std::max(absl::ZeroDuration(), drain - kNoticeLag);
+absl::Duration MaxDrainingRunnerUse(absl::Duration drain) {
+  return std::max(absl::ZeroDuration(), drain - kDrainNoticeLag);
 }
 
 GatewayRole::GatewayRole(wire::EventLoop& loop, const RoleSettings& settings,
@@ -144,14 +144,14 @@
                 [state = state_](std::shared_ptr<async_http::Exchange> exchange) {
                   return forwarding::Forward(state, std::move(exchange));
                 }),
-      readiness_(loop.context(),
-                 [this](std::shared_ptr<async_http::Exchange> exchange) {
-                   return AnswerReadiness(std::move(exchange));
-                 }),
-      metrics_(loop.context(),
-               [this](std::shared_ptr<async_http::Exchange> exchange) {
-                 return AnswerMetrics(std::move(exchange));
-               }),
+      readiness_server_(loop.context(),
+                        [this](std::shared_ptr<async_http::Exchange> exchange) {
+                          return ServeReadiness(std::move(exchange));
+                        }),
+      metrics_server_(loop.context(),
+                      [this](std::shared_ptr<async_http::Exchange> exchange) {
+                        return ServeMetrics(std::move(exchange));
+                      }),
       configuration_(
           loop.context(), store, formats.ConfigurationKey(),
           [this](const store::StoreChange& change) { OnConfigurationChange(change); },
@@ -184,9 +184,9 @@
           AggregatorWatchOptions(settings)),
       exchange_(loop.context(), settings, store, transport_,
                 {configuration_, runners_, ledger_directory_, aggregators_}, *state_, log),
-      ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }) {
-  state_->options.gone_usable = LeavingRunnerUse(settings.runner_drain_period);
-  ApplyPolicy(settings.policy, *state_);
+      ticker_(loop, kTickInterval, log, [this](absl::Time now) { Tick(now); }) {
+  state_->options.gone_usable = MaxDrainingRunnerUse(settings.runner_drain_period);
+  DisableMechanisms(settings.policy, *state_);
   ApplyKnobs(settings.policy_parameters, *state_);
   state_->ledger = std::make_unique<turn_ledger::LedgerClient>(
       loop.context(),
@@ -210,15 +210,15 @@
 Result<void> GatewayRole::Start() {
   BOOST_LEAF_AUTO(bound, transport_.Listen({settings_.address, settings_.internal_port}));
   settings_.internal_port = bound.port;
-  transport_.LimitUnsent(settings_.memory_bytes / kMemoryShareForFrames);
-  frontend_.limits().buffered_body_bytes = settings_.memory_bytes / kMemoryShareForBodies;
-  frontend_.limits().connections = settings_.max_descriptors > 2 * kDescriptorsKept
-                                       ? settings_.max_descriptors - kDescriptorsKept
+  transport_.LimitUnsent(settings_.memory_bytes / kFrameMemoryDivisor);
+  frontend_.limits().buffered_body_bytes = settings_.memory_bytes / kBodyMemoryDivisor;
+  frontend_.limits().connections = settings_.max_descriptors > 2 * kReservedDescriptors
+                                       ? settings_.max_descriptors - kReservedDescriptors
                                        : settings_.max_descriptors / 2;
   BOOST_LEAF_CHECK(frontend_.Listen(settings_.frontend));
-  BOOST_LEAF_CHECK(readiness_.Listen(settings_.readiness));
+  BOOST_LEAF_CHECK(readiness_server_.Listen(settings_.readiness));
   if (settings_.metrics) {
-    BOOST_LEAF_CHECK(metrics_.Listen(*settings_.metrics));
+    BOOST_LEAF_CHECK(metrics_server_.Listen(*settings_.metrics));
   }
   exchange_.start(settings_.internal_port);
   aggregators_.Start();
@@ -296,8 +296,8 @@
     return;
   }
   const discovery::RunnerState* known = state_->runners.Find(runner->id);
-  bool news = known == nullptr || known->runner.draining != runner->draining || known->gone;
-  if (news) {
+  bool changed = known == nullptr || known->runner.draining != runner->draining || known->gone;
+  if (changed) {
     log_.Write(Line("runner_known")
                    .Text("runner", runner->id.value)
                    .Text("service", runner->service.value)
@@ -305,7 +305,7 @@
                    .Flag("draining", runner->draining));
   }
   if (state_->runners.Upsert(now, *runner)) {
-    ForgetEarlierLife(runner->id);
+    DropPreviousProcessState(runner->id);
   }
 }
 
@@ -321,23 +321,23 @@
   log_.Write(Line("runner_gone").Text("runner", id));
 }
 
-void GatewayRole::ForgetEarlierLife(const discovery::RunnerId& runner) {
+void GatewayRole::DropPreviousProcessState(const discovery::RunnerId& runner) {
   state_->pool.CloseAll(runner);
   state_->prefixes.Forget(state_->runners.Find(runner)->short_id);
   log_.Write(Line("runner_started_again").Text("runner", runner.value));
 }
 
 void GatewayRole::OnLedgerDirectoryChange() {
-  if (!layout_is_due_) {
-    layout_is_due_ = true;
+  if (!layout_update_pending_) {
+    layout_update_pending_ = true;
     loop_.Post([this] {
-      layout_is_due_ = false;
-      LayOutLedger();
+      layout_update_pending_ = false;
+      UpdateLedgerLayout();
     });
   }
 }
 
-void GatewayRole::LayOutLedger() {
+void GatewayRole::UpdateLedgerLayout() {
   std::vector<Machine> machines;
   for (const auto& [key, item] : ledger_directory_.items()) {
     if (!absl::StartsWith(key, kLedgerMachinesPrefix)) {
@@ -400,9 +400,9 @@
 Task<void> GatewayRole::RelayToLedger(wire::Endpoint peer, turn_ledger::LedgerRequest request,
                                       wire::Layout layout) {
   bool settlement = std::holds_alternative<turn_ledger::SettleTurn>(request.operation);
-  absl::Duration patience =
+  absl::Duration timeout =
       settlement ? state_->options.commit_patience : state_->options.ledger_patience;
-  absl::Time deadline = SteadyNow() + patience;
+  absl::Time deadline = SteadyNow() + timeout;
   turn_ledger::CallResult result = co_await state_->ledger->Call(
       request.group, std::move(request.operation), deadline, turn_ledger::Relaying::kDirectOnly,
       request.known_programs_only ? turn_ledger::Programs::kKnownOnly
@@ -437,7 +437,7 @@
   // Relays are used only if the ledger is lost by this gateway alone: while it recovers for all
   // gateways, they would double its load.
   if (ledger_readiness_.lost_alone() && settings_.policy.on(mechanism::relays)) {
-    relays = exchange_.peers_with_ledger(kMostRelays);
+    relays = exchange_.peers_with_ledger(kMaxRelays);
   }
   state_->relaying = !relays.empty();
   state_->ledger->SetRelays(std::move(relays), !reaches);
@@ -460,12 +460,12 @@
   JudgeReadiness();
   if (now >= next_housekeeping_) {
     next_housekeeping_ = now + kHousekeepingInterval;
-    state_->runners.Prune(now, kKeepGoneRunners);
+    state_->runners.Prune(now, kGoneRunnerRetention);
     state_->pool.Prune(now);
   }
   log_.Flush();
   if (stopping_) {
-    CheckStop(now);
+    StopIfIdle(now);
   }
 }
 
@@ -474,16 +474,16 @@
     return;
   }
   stopping_ = true;
-  stop_asked_at_ = SteadyNow();
+  stop_requested_at_ = SteadyNow();
   frontend_.BeginDrain();
   log_.Write(Line("stopping")
                  .Number("active", static_cast<std::int64_t>(frontend_.stats().active_exchanges)));
 }
 
-void GatewayRole::CheckStop(absl::Time now) {
-  absl::Duration elapsed = now - stop_asked_at_;
-  bool left_out = elapsed >= std::min(kLeastDrain, settings_.stop_grace / 2);
-  if (left_out) {
+void GatewayRole::StopIfIdle(absl::Time now) {
+  absl::Duration elapsed = now - stop_requested_at_;
+  bool out_of_rotation = elapsed >= std::min(kMinDrain, settings_.stop_grace / 2);
+  if (out_of_rotation) {
     // No new clients arrive any more. A request that crosses the close was not accepted.
     frontend_.CloseIdle();
   }
@@ -491,8 +491,8 @@
   const async_http::ServerStats& clients = frontend_.stats();
   bool idle = clients.active_exchanges == 0 && clients.open_connections == 0 &&
               state_->ledger->pending() == 0;
-  bool over = elapsed >= settings_.stop_grace - kStopMargin;
-  if ((idle && left_out) || over) {
+  bool deadline_passed = elapsed >= settings_.stop_grace - kStopMargin;
+  if ((idle && out_of_rotation) || deadline_passed) {
     log_.Write(Line("stopped").Number(
         "active", static_cast<std::int64_t>(frontend_.stats().active_exchanges)));
     loop_.Stop();
@@ -505,31 +505,31 @@
 
 // ---- Readiness and metrics endpoints ----
 
-void GatewayRole::SetStoreMetrics() {
-  struct Copy {
+void GatewayRole::UpdateStoreMetrics() {
+  struct NamedMirror {
     const char* name;
     const store::PrefixMirror& mirror;
   };
-  const Copy copies[] = {{"configuration", configuration_},
-                         {"runners", runners_},
-                         {"ledger_directory", ledger_directory_},
-                         {"aggregators", aggregators_}};
-  for (const Copy& copy : copies) {
-    absl::Duration waiting = copy.mirror.Waiting().value_or(absl::ZeroDuration());
-    state_->metrics.Set(absl::StrCat("copy_age_seconds_", copy.name),
-                        absl::ToDoubleSeconds(copy.mirror.Staleness()));
-    state_->metrics.Set(absl::StrCat("copy_call_waits_seconds_", copy.name),
+  const NamedMirror mirrors[] = {{"configuration", configuration_},
+                                 {"runners", runners_},
+                                 {"ledger_directory", ledger_directory_},
+                                 {"aggregators", aggregators_}};
+  for (const NamedMirror& named : mirrors) {
+    absl::Duration waiting = named.mirror.Waiting().value_or(absl::ZeroDuration());
+    state_->metrics.Set(absl::StrCat("copy_age_seconds_", named.name),
+                        absl::ToDoubleSeconds(named.mirror.Staleness()));
+    state_->metrics.Set(absl::StrCat("copy_call_waits_seconds_", named.name),
                         absl::ToDoubleSeconds(waiting));
   }
 }
 
-Task<void> GatewayRole::AnswerReadiness(std::shared_ptr<async_http::Exchange> exchange) {
+Task<void> GatewayRole::ServeReadiness(std::shared_ptr<async_http::Exchange> exchange) {
   async_http::HttpHead head;
   head.result(ready() ? 200U : 503U);
   co_await exchange->Send(std::move(head), ready() ? "ready" : "not ready");
 }
 
-Task<void> GatewayRole::AnswerMetrics(std::shared_ptr<async_http::Exchange> exchange) {
+Task<void> GatewayRole::ServeMetrics(std::shared_ptr<async_http::Exchange> exchange) {
   forwarding::GatewayMetrics& metrics = state_->metrics;
   metrics.Set("open_connections", static_cast<double>(frontend_.stats().open_connections));
   metrics.Set("active_requests", static_cast<double>(frontend_.stats().active_exchanges));
@@ -539,23 +539,23 @@
   metrics.Set("quota_own_decisions", static_cast<double>(state_->quotas->own_decisions()));
   metrics.Set("ledger_relayed", static_cast<double>(state_->ledger->relayed()));
   metrics.Set("store_calls", static_cast<double>(store_.calls()));
-  SetStoreMetrics();
+  UpdateStoreMetrics();
   metrics.Set("known_runners", static_cast<double>(state_->runners.all().size()));
   metrics.Set("known_gateways", static_cast<double>(exchange_.peers() + 1));
-  const exchange_stats& told = exchange_.stats();
+  const exchange_stats& counters = exchange_.stats();
   metrics.Set("aggregates", exchange_.aggregates() ? 1 : 0);
   metrics.Set("aggregator_members", static_cast<double>(exchange_.members()));
-  metrics.Set("reports_sent", static_cast<double>(told.m_reports_sent));
-  metrics.Set("reports_taken", static_cast<double>(told.m_reports_taken));
-  metrics.Set("digests_sent", static_cast<double>(told.m_digests_sent));
-  metrics.Set("digests_taken", static_cast<double>(told.m_digests_taken));
-  metrics.Set("summaries_sent", static_cast<double>(told.m_summaries_sent));
-  metrics.Set("changes_pushed", static_cast<double>(told.m_news_pushed));
-  metrics.Set("changes_asked", static_cast<double>(told.m_news_asked));
+  metrics.Set("reports_sent", static_cast<double>(counters.m_reports_sent));
+  metrics.Set("reports_taken", static_cast<double>(counters.m_reports_taken));
+  metrics.Set("digests_sent", static_cast<double>(counters.m_digests_sent));
+  metrics.Set("digests_taken", static_cast<double>(counters.m_digests_taken));
+  metrics.Set("summaries_sent", static_cast<double>(counters.m_summaries_sent));
+  metrics.Set("changes_pushed", static_cast<double>(counters.m_news_pushed));
+  metrics.Set("changes_asked", static_cast<double>(counters.m_news_asked));
   metrics.Set("lease_store_questions", static_cast<double>(exchange_.leases().m_store_questions));
   metrics.Set("lease_peer_questions", static_cast<double>(exchange_.leases().m_peer_questions));
   metrics.Set("lease_peer_answers", static_cast<double>(exchange_.leases().m_peer_answers));
-  metrics.Set("datagrams_unreadable", static_cast<double>(told.m_datagrams_unreadable));
+  metrics.Set("datagrams_unreadable", static_cast<double>(counters.m_datagrams_unreadable));
   metrics.Set("frames_unreadable", static_cast<double>(link_.stats().m_unreadable));
   metrics.Set("requests_dropped_for_unknown_peers", static_cast<double>(link_.stats().m_dropped));
   metrics.Set("peers_of_earlier_layouts", static_cast<double>(link_.earlier_peers()));
--- a/src/roles/gateway_role.h
+++ b/src/roles/gateway_role.h
@@ -28,7 +28,7 @@
 /// accepted its notice.
 /// @return how long a gateway may fall back to a draining runner, counted from the time it learned
 /// of the notice.
-absl::Duration LeavingRunnerUse(absl::Duration drain);
+absl::Duration MaxDrainingRunnerUse(absl::Duration drain);
 
 class GatewayRole {
  public:
@@ -44,7 +44,7 @@
   forwarding::GatewayState& state() { return *state_; }
   async_http::Server& frontend() { return frontend_; }
   std::uint16_t frontend_port() const { return frontend_.port(); }
-  std::uint16_t readiness_port() const { return readiness_.port(); }
+  std::uint16_t readiness_port() const { return readiness_server_.port(); }
 
  private:
   void OnConfigurationChange(const store::StoreChange& change);
@@ -52,13 +52,13 @@
   /// Removes the runner that was registered under `key`.
   void RemoveRunner(const std::string& key);
   /// Drops connections and prefix cache state of the previous process of a restarted runner.
-  void ForgetEarlierLife(const discovery::RunnerId& runner);
+  void DropPreviousProcessState(const discovery::RunnerId& runner);
   /// Schedules one layout update for all directory changes of the current loop round.
   void OnLedgerDirectoryChange();
-  void LayOutLedger();
+  void UpdateLedgerLayout();
   void OnStoreReachability(const char* label, const store::PrefixMirror& mirror, bool reachable,
                            store::StoreStatus status);
-  void SetStoreMetrics();
+  void UpdateStoreMetrics();
   /// Tells the ledger clients which machines to contact for each group.
   void SetLedgerGroups(const std::vector<turn_ledger::Machine>& machines);
 
@@ -70,9 +70,9 @@
   /// Executes a ledger call on behalf of a peer gateway.
   async_http::Task<void> RelayToLedger(wire::Endpoint peer, turn_ledger::LedgerRequest request,
                                        wire::Layout layout);
-  void CheckStop(absl::Time now);
-  async_http::Task<void> AnswerReadiness(std::shared_ptr<async_http::Exchange> exchange);
-  async_http::Task<void> AnswerMetrics(std::shared_ptr<async_http::Exchange> exchange);
+  void StopIfIdle(absl::Time now);
+  async_http::Task<void> ServeReadiness(std::shared_ptr<async_http::Exchange> exchange);
+  async_http::Task<void> ServeMetrics(std::shared_ptr<async_http::Exchange> exchange);
   turn_ledger::Machine Self() const;
 
   wire::EventLoop& loop_;
@@ -84,8 +84,8 @@
   wire::Transport transport_;
   peer_link link_;
   async_http::Server frontend_;
-  async_http::Server readiness_;
-  async_http::Server metrics_;
+  async_http::Server readiness_server_;
+  async_http::Server metrics_server_;
   store::PrefixMirror configuration_;
   store::PrefixMirror runners_;
   store::PrefixMirror ledger_directory_;
@@ -96,10 +96,10 @@
 
   readiness ledger_readiness_;
   bool reaches_ledger_ = true;  ///< The reported state: debounced, and true in a shared outage.
-  bool layout_is_due_ = false;
+  bool layout_update_pending_ = false;
   absl::Time next_housekeeping_;
   bool stopping_ = false;
-  absl::Time stop_asked_at_;
+  absl::Time stop_requested_at_;
 };
 
 }  // namespace martenyard::roles
--- a/tests/platform/aggregator_contract_test.cc
+++ b/tests/platform/aggregator_contract_test.cc
@@ -80,9 +80,9 @@
 
 TEST(LeavingRunnerTest, IsUsedNoLongerThanTheDeploymentsBoundAllows) {
   // It was 1.2 s whatever the bound: a deployment with a shorter one would have been broken.
-  EXPECT_EQ(roles::LeavingRunnerUse(absl::Seconds(2)), absl::Milliseconds(1200));
-  EXPECT_EQ(roles::LeavingRunnerUse(absl::Milliseconds(900)), absl::Milliseconds(100));
-  EXPECT_EQ(roles::LeavingRunnerUse(absl::Milliseconds(500)), absl::ZeroDuration());
+  EXPECT_EQ(roles::MaxDrainingRunnerUse(absl::Seconds(2)), absl::Milliseconds(1200));
+  EXPECT_EQ(roles::MaxDrainingRunnerUse(absl::Milliseconds(900)), absl::Milliseconds(100));
+  EXPECT_EQ(roles::MaxDrainingRunnerUse(absl::Milliseconds(500)), absl::ZeroDuration());
   PlatformWorld world;  // Its settings say 2 s.
   EXPECT_EQ(world.gateway().state().options.gone_usable, absl::Milliseconds(1200));
 }
