--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -174,7 +174,7 @@
             OnStoreReachability("ledger directory", ledger_directory_, reachable, status);
           },
           LongWatchOptions(settings)),
-      founders_(ledger_directory_, log),
+      layout_record_(ledger_directory_, log),
       aggregators_(
           loop.context(), store, kAggregatorsPrefix,
           [this](const store::StoreChange&) { exchange_.on_slots_change(); },
@@ -357,20 +357,20 @@
 }
 
 void GatewayRole::SetLedgerGroups(const std::vector<Machine>& machines) {
-  const turn_ledger::group_layout* layout = founders_.layout();
+  const turn_ledger::group_layout* layout = layout_record_.layout();
   if (layout == nullptr) {
     return;
   }
   std::vector<std::vector<wire::Endpoint>> groups;
   for (std::size_t index = 0; index < layout->size(); ++index) {
-    const consensus::Configuration& founders = (*layout)[index];
-    std::vector<Machine> ordered = turn_ledger::members_first(machines, founders);
+    const consensus::Configuration& initial_members = (*layout)[index];
+    std::vector<Machine> ordered = turn_ledger::members_first(machines, initial_members);
     std::vector<wire::Endpoint>& endpoints = groups.emplace_back();
     for (const Machine& machine : ordered) {
       endpoints.push_back(machine.endpoint);
     }
     state_->chains->set_machines(turn_ledger::group_at(index), std::move(ordered),
-                                 founders.voters.size());
+                                 initial_members.voters.size());
   }
   state_->ledger->SetGroups(std::move(groups));
   state_->informed.Notify();
--- a/src/roles/gateway_role.h
+++ b/src/roles/gateway_role.h
@@ -10,7 +10,7 @@
 #include "forwarding/gateway_state.h"
 #include "roles/directory_keys.h"
 #include "roles/exchange/zone_exchange.h"
-#include "roles/ledger/founders_record.h"
+#include "roles/ledger/group_layout_record.h"
 #include "roles/peers/peer_link.h"
 #include "roles/platform_formats.h"
 #include "roles/readiness/readiness.h"
@@ -89,7 +89,7 @@
   store::PrefixMirror configuration_;
   store::PrefixMirror runners_;
   store::PrefixMirror ledger_directory_;
-  founders_record founders_;
+  group_layout_record layout_record_;
   store::PrefixMirror aggregators_;
   zone_exchange exchange_;
   Ticker ticker_;
--- a/src/roles/ledger/founders_record.cc
+++ b/src/roles/ledger/group_layout_record.cc
@@ -1,4 +1,4 @@
-#include "roles/ledger/founders_record.h"
+#include "roles/ledger/group_layout_record.h"
 
 #include "roles/directory_keys.h"
 #include "wire/codec.h"
@@ -6,12 +6,12 @@
 namespace martenyard::roles
 {
 
-founders_record::founders_record(const store::PrefixMirror& directory, event_log::EventLog& log)
+group_layout_record::group_layout_record(const store::PrefixMirror& directory, event_log::EventLog& log)
     : m_directory(directory), m_log(log)
 {
 }
 
-const turn_ledger::group_layout* founders_record::layout()
+const turn_ledger::group_layout* group_layout_record::layout()
 {
     auto record = m_directory.items().find(kLedgerGroupsKey);
     if (record == m_directory.items().end())
--- a/src/roles/ledger/founders_record.h
+++ b/src/roles/ledger/group_layout_record.h
@@ -11,12 +11,12 @@
 {
 
 /// @brief the group layout, decoded once per revision of its record
-class founders_record
+class group_layout_record
 {
   public:
     /// All references must outlive this object.
     /// @param[in] directory  a mirror of the ledger's directory
-    founders_record(const store::PrefixMirror& directory, event_log::EventLog& log);
+    group_layout_record(const store::PrefixMirror& directory, event_log::EventLog& log);
 
     /// @return the layout, or null while it isn't known; an unreadable record is logged once
     const turn_ledger::group_layout* layout();
--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_emptying.cc
@@ -31,13 +31,13 @@
 
 machine_emptying::machine_emptying(async_http::asio::io_context& context, const RoleSettings& settings,
                                    const PlatformFormats& formats, store::MetadataStore& store,
-                                   const store::PrefixMirror& directory, founders_record& founders,
+                                   const store::PrefixMirror& directory, group_layout_record& layout_record,
                                    event_log::EventLog& log, find_replica find, on_retiring told)
     : m_context(context),
       m_formats(formats),
       m_store(store),
       m_directory(directory),
-      m_founders(founders),
+      m_layout_record(layout_record),
       m_log(log),
       m_find(std::move(find)),
       m_told(std::move(told)),
@@ -105,7 +105,7 @@
 
 bool machine_emptying::all_groups_emptied(const std::string& machine)
 {
-    const turn_ledger::group_layout* layout = m_founders.layout();
+    const turn_ledger::group_layout* layout = m_layout_record.layout();
     for (std::size_t index = 0; layout != nullptr && index < layout->size(); ++index)
     {
         GroupId group = turn_ledger::group_at(index);
@@ -163,7 +163,7 @@
     {
         co_await async_http::Sleep(m_context, absl::FromChrono(report_interval));
         std::vector<std::string> names = retiring();
-        const turn_ledger::group_layout* layout = m_founders.layout();
+        const turn_ledger::group_layout* layout = m_layout_record.layout();
         std::size_t groups = layout == nullptr ? 0 : layout->size();
         for (std::size_t index = 1; index < groups; ++index)
         {
--- a/src/roles/ledger/machine_emptying.h
+++ b/src/roles/ledger/machine_emptying.h
@@ -12,7 +12,7 @@
 #include "async_http/task.h"
 #include "base/ids.h"
 #include "event_log/event_log.h"
-#include "roles/ledger/founders_record.h"
+#include "roles/ledger/group_layout_record.h"
 #include "roles/platform_formats.h"
 #include "roles/role_settings.h"
 #include "store/metadata_store.h"
@@ -34,7 +34,7 @@
     /// All references must outlive this object.
     machine_emptying(async_http::asio::io_context& context, const RoleSettings& settings,
                      const PlatformFormats& formats, store::MetadataStore& store,
-                     const store::PrefixMirror& directory, founders_record& founders,
+                     const store::PrefixMirror& directory, group_layout_record& layout_record,
                      event_log::EventLog& log, find_replica find, on_retiring told);
 
     /// @brief starts to watch the operator's requests
@@ -58,7 +58,7 @@
     const PlatformFormats& m_formats;
     store::MetadataStore& m_store;
     const store::PrefixMirror& m_directory;
-    founders_record& m_founders;
+    group_layout_record& m_layout_record;
     event_log::EventLog& m_log;
     find_replica m_find;
     on_retiring m_told;
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -118,9 +118,9 @@
             log_.Write(DescribeStoreReachability("directory", directory_, reachable, status));
           },
           DirectoryWatchOptions(settings)),
-      founders_(directory_, log),
+      layout_record_(directory_, log),
       emptying_(
-          loop.context(), settings, formats, store, directory_, founders_, log,
+          loop.context(), settings, formats, store, directory_, layout_record_, log,
           [this](GroupId group) { return Find(group); },
           [this](const std::vector<std::string>& machines) { OnRetiring(machines); }),
       copies_(
@@ -604,7 +604,7 @@
 bool LedgerRole::HeardAnyway() {
   // With several groups, the leaders of groups without this machine need its hellos to know that it
   // is available as a replacement.
-  const turn_ledger::group_layout* layout = founders_.layout();
+  const turn_ledger::group_layout* layout = layout_record_.layout();
   bool single = layout != nullptr && layout->size() == 1;
   const turn_ledger::TurnReplica* first = replica();
   if (!single || first == nullptr) {
@@ -704,16 +704,16 @@
 }
 
 void LedgerRole::FoundFromRecord() {
-  const turn_ledger::group_layout* layout = founders_.layout();
+  const turn_ledger::group_layout* layout = layout_record_.layout();
   for (std::size_t index = 0; layout != nullptr && index < layout->size(); ++index) {
     GroupId group = turn_ledger::group_at(index);
-    const consensus::Configuration& founders = (*layout)[index];
-    if (disk_ == nullptr || Find(group) != nullptr || !founders.IsVoter(identity_)) {
+    const consensus::Configuration& initial_members = (*layout)[index];
+    if (disk_ == nullptr || Find(group) != nullptr || !initial_members.IsVoter(identity_)) {
       continue;
     }
     // The record is immutable, so all initial voters start from the same empty log.
     consensus::RestoredState restored;
-    restored.snapshot.configuration = founders;
+    restored.snapshot.configuration = initial_members;
     storage::GroupWrite write;
     write.group = group;
     write.snapshot = restored.snapshot;
@@ -722,7 +722,7 @@
     }
     log_.Write(Line("group_founded")
                    .Number("group", group.value)
-                   .Number("voters", static_cast<std::int64_t>(founders.voters.size())));
+                   .Number("voters", static_cast<std::int64_t>(initial_members.voters.size())));
     StartReplica(group, std::move(restored));
   }
 }
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -13,7 +13,7 @@
 #include "base/random.h"
 #include "event_log/event_log.h"
 #include "roles/directory_keys.h"
-#include "roles/ledger/founders_record.h"
+#include "roles/ledger/group_layout_record.h"
 #include "roles/ledger/kept_copies.h"
 #include "roles/ledger/machine_emptying.h"
 #include "roles/ledger/work_account.h"
@@ -122,7 +122,7 @@
   wire::Transport transport_;
   peer_link link_;
   store::PrefixMirror directory_;
-  founders_record founders_;
+  group_layout_record layout_record_;
   machine_emptying emptying_;
   kept_copies copies_;
   PeerRegistry peers_;
