--- a/src/roles/exchange/storage_link.h
+++ b/src/roles/exchange/storage_link.h
@@ -1,5 +1,5 @@
 // A gateway's part in what storage machines keep for those that have just started: it tells them what
-// it knows of the store, and asks one of them for what it lacks. See roles/ledger/kept_copies.h.
+// it knows of the store, and asks one of them for what it lacks. See roles/ledger/persisted_mirrors.h.
 #pragma once
 
 #include <chrono>
--- a/src/roles/ledger/kept_copies.h
+++ b/src/roles/ledger/persisted_mirrors.h
@@ -29,27 +29,27 @@
 {
 
 /// @brief tuning parameters
-struct kept_copies_options
+struct persisted_mirrors_options
 {
     /// minimum time between two writes of the same mirror; bounds the rate of syncs
-    std::chrono::milliseconds m_write_pause{500};
+    std::chrono::milliseconds m_min_write_interval{500};
     /// a large mirror is written less often: one of 3 MB (10,000 runners) every 12 s
-    std::size_t m_written_bytes_per_second = std::size_t{256} << 10;
+    std::size_t m_max_write_bytes_per_second = std::size_t{256} << 10;
     /// time before an unanswered request for the same mirror is repeated
-    std::chrono::milliseconds m_ask_again{400};
+    std::chrono::milliseconds m_request_retry_interval{400};
 };
 
 /// @brief not thread-safe: for the event loop's thread only
-class kept_copies
+class persisted_mirrors
 {
   public:
     /// All references must outlive this object.
     /// @param[in] directory  the role's own mirror of the ledger's directory, which watches the store
     /// @param[in] self       the sender named in messages to peers
-    kept_copies(async_http::asio::io_context& context, const RoleSettings& settings,
-                const PlatformFormats& formats, store::MetadataStore& store, wire::Transport& transport,
-                store::PrefixMirror& directory, std::function<turn_ledger::Machine()> self,
-                event_log::EventLog& log, const kept_copies_options& options = {});
+    persisted_mirrors(async_http::asio::io_context& context, const RoleSettings& settings,
+                      const PlatformFormats& formats, store::MetadataStore& store, wire::Transport& transport,
+                      store::PrefixMirror& directory, std::function<turn_ledger::Machine()> self,
+                      event_log::EventLog& log, const persisted_mirrors_options& options = {});
 
     /// @brief loads the mirrors from disk
     void start();
@@ -58,7 +58,7 @@
     void on_datagram(const std::string& payload);
 
     /// @brief applies changes received from a gateway
-    void on_news(const store::news_reply& reply);
+    void on_changes(const store::news_reply& reply);
 
     /// @brief writes at most one changed mirror to disk
     void tick();
@@ -67,35 +67,35 @@
     using instant = aggregation::instant;
 
     /// Persistence state of one mirror.
-    struct upkeep
+    struct persistence_state
     {
         /// the last change on disk
-        std::uint64_t m_written = 0;
+        std::uint64_t m_persisted_change = 0;
         instant m_next_write;
-        std::optional<instant> m_asked;
+        std::optional<instant> m_requested_at;
     };
 
-    void read(std::size_t copy);
-    void write(instant now, std::size_t copy);
-    std::string path(std::size_t copy) const;
-    void take(instant now, const aggregation::digest& told);
-    void take(instant now, const store::news_request& request);
+    void load(std::size_t mirror);
+    void save(instant now, std::size_t mirror);
+    std::string path(std::size_t mirror) const;
+    void handle(instant now, const aggregation::digest& received);
+    void handle(instant now, const store::news_request& request);
     /// ignores messages that are not meant for storage machines
     template <typename Other>
-    void take(instant /*now*/, const Other& /*other*/)
+    void handle(instant /*now*/, const Other& /*other*/)
     {
     }
 
     const RoleSettings& m_settings;
     wire::Transport& m_transport;
     event_log::EventLog& m_log;
-    kept_copies_options m_options;
+    persisted_mirrors_options m_options;
     /// never started: updated by peers only
     store::PrefixMirror m_configuration;
     store::PrefixMirror m_runners;
     store::PrefixMirror m_aggregators;
-    followed_copies m_copies;
-    std::array<upkeep, aggregation::mirror_count> m_upkeep;
+    followed_copies m_mirrors;
+    std::array<persistence_state, aggregation::mirror_count> m_states;
     news_sender m_sender;
 };
 
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -107,7 +107,7 @@
       open_log_store_(std::move(open_log_store)),
       transport_(
           loop, [this](const std::string& payload) { OnFrame(payload); },
-          [this](const std::string& payload) { copies_.on_datagram(payload); },
+          [this](const std::string& payload) { persisted_mirrors_.on_datagram(payload); },
           [this](const wire::Endpoint& peer, absl::Time) { OnDead(peer); }),
       link_(
           transport_, [this] { return Self(); }, log),
@@ -123,7 +123,7 @@
           loop.context(), settings, formats, store, directory_, layout_record_, log,
           [this](GroupId group) { return Find(group); },
           [this](const std::vector<std::string>& machines) { OnRetiring(machines); }),
-      copies_(
+      persisted_mirrors_(
           loop.context(), settings_, formats, store, transport_, directory_,
           [this] { return Self(); }, log),
       peers_(settings.data_folder + "/" + kPeersFile, log),
@@ -136,7 +136,7 @@
   settings_.internal_port = bound.port;
   transport_.LimitUnsent(settings_.memory_bytes / kMemoryShareForFrames);
   OpenDisk();
-  copies_.start();
+  persisted_mirrors_.start();
   directory_.Start();
   emptying_.start();
   async_http::asio::co_spawn(loop_.context(), Register(), async_http::asio::detached);
@@ -432,7 +432,7 @@
       break;
     }
   }
-  copies_.tick();
+  persisted_mirrors_.tick();
   if (now >= next_hello_) {
     next_hello_ = now + HelloPause();
     SayHello();
@@ -515,7 +515,7 @@
   } else if (const auto* hello = std::get_if<turn_ledger::Hello>(&envelope.body)) {
     OnHello(*hello);
   } else if (const auto* news = std::get_if<store::news_reply>(&envelope.body)) {
-    copies_.on_news(*news);
+    persisted_mirrors_.on_changes(*news);
   }
 }
 
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -14,8 +14,8 @@
 #include "event_log/event_log.h"
 #include "roles/directory_keys.h"
 #include "roles/ledger/group_layout_record.h"
-#include "roles/ledger/kept_copies.h"
 #include "roles/ledger/machine_emptying.h"
+#include "roles/ledger/persisted_mirrors.h"
 #include "roles/ledger/work_account.h"
 #include "roles/memory/memory_guard.h"
 #include "roles/peer_registry.h"
@@ -124,7 +124,7 @@
   store::PrefixMirror directory_;
   group_layout_record layout_record_;
   machine_emptying emptying_;
-  kept_copies copies_;
+  persisted_mirrors persisted_mirrors_;
   PeerRegistry peers_;
   Ticker ticker_;
 
