--- a/src/roles/ledger/machine_emptying.cc
+++ b/src/roles/ledger/machine_retirement.cc
@@ -1,4 +1,4 @@
-#include "roles/ledger/machine_emptying.h"
+#include "roles/ledger/machine_retirement.h"
 
 #include <algorithm>
 #include <chrono>
@@ -20,19 +20,20 @@
 {
 
 /// time between two checks of the retiring machines
-constexpr std::chrono::milliseconds report_interval{250};
+constexpr std::chrono::milliseconds check_interval{250};
 
-std::string note_key(const std::string& machine, GroupId group)
+std::string record_key(const std::string& machine, GroupId group)
 {
     return absl::StrCat(kRetiredMachinesPrefix, machine, "/", group.value);
 }
 
 }  // namespace
 
-machine_emptying::machine_emptying(async_http::asio::io_context& context, const RoleSettings& settings,
-                                   const PlatformFormats& formats, store::MetadataStore& store,
-                                   const store::PrefixMirror& directory, group_layout_record& layout_record,
-                                   event_log::EventLog& log, find_replica find, on_retiring told)
+machine_retirement::machine_retirement(async_http::asio::io_context& context, const RoleSettings& settings,
+                                       const PlatformFormats& formats, store::MetadataStore& store,
+                                       const store::PrefixMirror& directory,
+                                       group_layout_record& layout_record, event_log::EventLog& log,
+                                       find_replica find, on_retiring on_retiring_machines)
     : m_context(context),
       m_formats(formats),
       m_store(store),
@@ -40,12 +41,12 @@
       m_layout_record(layout_record),
       m_log(log),
       m_find(std::move(find)),
-      m_told(std::move(told)),
+      m_on_retiring(std::move(on_retiring_machines)),
       m_requests(
           context, store, formats.RetirePrefix(),
           [this](const store::StoreChange&)
           {
-              on_change();
+              on_requests_change();
           },
           [this](bool reachable, store::StoreStatus status)
           {
@@ -55,13 +56,13 @@
 {
 }
 
-void machine_emptying::start()
+void machine_retirement::start()
 {
     m_requests.Start();
-    async_http::asio::co_spawn(m_context, report(), async_http::asio::detached);
+    async_http::asio::co_spawn(m_context, run(), async_http::asio::detached);
 }
 
-std::vector<std::string> machine_emptying::retiring() const
+std::vector<std::string> machine_retirement::retiring() const
 {
     std::vector<std::string> names;
     for (const auto& [key, item] : m_requests.items())
@@ -73,25 +74,25 @@
     return names;
 }
 
-void machine_emptying::on_change()
+void machine_retirement::on_requests_change()
 {
     std::vector<std::string> names = retiring();
     m_log.Write(Line("retire_asked").Number("machines", static_cast<std::int64_t>(names.size())));
-    m_told(names);
+    m_on_retiring(names);
 }
 
-Task<void> machine_emptying::note(GroupId group, const std::string& machine, bool emptied)
+Task<void> machine_retirement::set_record(GroupId group, const std::string& machine, bool released)
 {
-    std::string key = note_key(machine, group);
-    auto present = m_directory.items().find(key);
-    bool is_noted = present != m_directory.items().end();
-    if (is_noted == emptied)
+    std::string key = record_key(machine, group);
+    auto record = m_directory.items().find(key);
+    bool is_recorded = record != m_directory.items().end();
+    if (is_recorded == released)
     {
         co_return;
     }
     store::Transaction transaction;
-    transaction.conditions.push_back({key, is_noted ? present->second.revision : 0});
-    if (emptied)
+    transaction.conditions.push_back({key, is_recorded ? record->second.revision : 0});
+    if (released)
     {
         transaction.puts.push_back({key, "", 0});
     }
@@ -103,17 +104,17 @@
     co_await m_store.Commit(std::move(transaction));
 }
 
-bool machine_emptying::all_groups_emptied(const std::string& machine)
+bool machine_retirement::released_by_all_groups(const std::string& machine)
 {
     const turn_ledger::group_layout* layout = m_layout_record.layout();
     for (std::size_t index = 0; layout != nullptr && index < layout->size(); ++index)
     {
         GroupId group = turn_ledger::group_at(index);
         const turn_ledger::TurnReplica* replica = m_find(group);
-        bool own = replica != nullptr && replica->LeadsCurrent();
-        bool emptied =
-            own ? replica->MayTakeAway(machine) : m_directory.items().contains(note_key(machine, group));
-        if (!emptied)
+        bool leads = replica != nullptr && replica->LeadsCurrent();
+        bool released =
+            leads ? replica->MayTakeAway(machine) : m_directory.items().contains(record_key(machine, group));
+        if (!released)
         {
             return false;
         }
@@ -121,7 +122,7 @@
     return layout != nullptr;
 }
 
-std::vector<std::string> machine_emptying::noted(GroupId group) const
+std::vector<std::string> machine_retirement::recorded_machines(GroupId group) const
 {
     std::vector<std::string> names;
     for (const auto& [key, item] : m_directory.items())
@@ -137,39 +138,39 @@
     return names;
 }
 
-Task<void> machine_emptying::note_group(GroupId group, std::vector<std::string> machines)
+Task<void> machine_retirement::update_group_records(GroupId group, std::vector<std::string> machines)
 {
     // Records of machines that are no longer retiring are removed: their names may be reused.
-    std::vector<std::string> before = noted(group);
-    machines.insert(machines.end(), before.begin(), before.end());
+    std::vector<std::string> recorded = recorded_machines(group);
+    machines.insert(machines.end(), recorded.begin(), recorded.end());
     for (const std::string& name : machines)
     {
-        std::vector<std::string> asked_for = retiring();
-        bool asked = std::find(asked_for.begin(), asked_for.end(), name) != asked_for.end();
+        std::vector<std::string> requested = retiring();
+        bool is_requested = std::find(requested.begin(), requested.end(), name) != requested.end();
         const turn_ledger::TurnReplica* replica = m_find(group);
         if (replica != nullptr && replica->LeadsCurrent())
         {
-            bool emptied = asked && replica->MayTakeAway(name);
-            co_await note(group, name, emptied);
+            bool released = is_requested && replica->MayTakeAway(name);
+            co_await set_record(group, name, released);
         }
     }
 }
 
-Task<void> machine_emptying::report()
+Task<void> machine_retirement::run()
 {
     std::map<std::string, std::string> reported;
-    const GroupId reporter = turn_ledger::group_at(0);
+    const GroupId first_group = turn_ledger::group_at(0);
     while (true)
     {
-        co_await async_http::Sleep(m_context, absl::FromChrono(report_interval));
+        co_await async_http::Sleep(m_context, absl::FromChrono(check_interval));
         std::vector<std::string> names = retiring();
         const turn_ledger::group_layout* layout = m_layout_record.layout();
         std::size_t groups = layout == nullptr ? 0 : layout->size();
         for (std::size_t index = 1; index < groups; ++index)
         {
-            co_await note_group(turn_ledger::group_at(index), names);
+            co_await update_group_records(turn_ledger::group_at(index), names);
         }
-        const turn_ledger::TurnReplica* first = m_find(reporter);
+        const turn_ledger::TurnReplica* first = m_find(first_group);
         if (first != nullptr && first->LeadsCurrent())
         {
             co_await report_statuses(reported);
@@ -181,11 +182,11 @@
     }
 }
 
-Task<void> machine_emptying::report_statuses(std::map<std::string, std::string>& reported)
+Task<void> machine_retirement::report_statuses(std::map<std::string, std::string>& reported)
 {
     for (const std::string& name : retiring())
     {
-        std::string status = m_formats.WriteRetireStatus(all_groups_emptied(name));
+        std::string status = m_formats.WriteRetireStatus(released_by_all_groups(name));
         if (reported[name] == status)
         {
             continue;
--- a/src/roles/ledger/machine_emptying.h
+++ b/src/roles/ledger/machine_retirement.h
@@ -23,7 +23,7 @@
 {
 
 /// @brief not thread-safe: for the event loop's thread only
-class machine_emptying
+class machine_retirement
 {
   public:
     /// @return this machine's replica of a group, or null
@@ -32,10 +32,10 @@
     using on_retiring = std::function<void(const std::vector<std::string>& machines)>;
 
     /// All references must outlive this object.
-    machine_emptying(async_http::asio::io_context& context, const RoleSettings& settings,
-                     const PlatformFormats& formats, store::MetadataStore& store,
-                     const store::PrefixMirror& directory, group_layout_record& layout_record,
-                     event_log::EventLog& log, find_replica find, on_retiring told);
+    machine_retirement(async_http::asio::io_context& context, const RoleSettings& settings,
+                       const PlatformFormats& formats, store::MetadataStore& store,
+                       const store::PrefixMirror& directory, group_layout_record& layout_record,
+                       event_log::EventLog& log, find_replica find, on_retiring on_retiring_machines);
 
     /// @brief starts to watch the operator's requests
     void start();
@@ -44,15 +44,15 @@
     std::vector<std::string> retiring() const;
 
   private:
-    void on_change();
-    async_http::Task<void> report();
+    void on_requests_change();
+    async_http::Task<void> run();
     async_http::Task<void> report_statuses(std::map<std::string, std::string>& reported);
     /// records which of the machines the group no longer needs
-    async_http::Task<void> note_group(GroupId group, std::vector<std::string> machines);
-    async_http::Task<void> note(GroupId group, const std::string& machine, bool emptied);
+    async_http::Task<void> update_group_records(GroupId group, std::vector<std::string> machines);
+    async_http::Task<void> set_record(GroupId group, const std::string& machine, bool released);
     /// @return the machines with a record for the group
-    std::vector<std::string> noted(GroupId group) const;
-    bool all_groups_emptied(const std::string& machine);
+    std::vector<std::string> recorded_machines(GroupId group) const;
+    bool released_by_all_groups(const std::string& machine);
 
     async_http::asio::io_context& m_context;
     const PlatformFormats& m_formats;
@@ -61,7 +61,7 @@
     group_layout_record& m_layout_record;
     event_log::EventLog& m_log;
     find_replica m_find;
-    on_retiring m_told;
+    on_retiring m_on_retiring;
     store::PrefixMirror m_requests;
 };
 
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -119,7 +119,7 @@
           },
           DirectoryWatchOptions(settings)),
       layout_record_(directory_, log),
-      emptying_(
+      retirement_(
           loop.context(), settings, formats, store, directory_, layout_record_, log,
           [this](GroupId group) { return Find(group); },
           [this](const std::vector<std::string>& machines) { OnRetiring(machines); }),
@@ -138,7 +138,7 @@
   OpenDisk();
   persisted_mirrors_.start();
   directory_.Start();
-  emptying_.start();
+  retirement_.start();
   async_http::asio::co_spawn(loop_.context(), Register(), async_http::asio::detached);
   async_http::asio::co_spawn(loop_.context(), FoundWhenPossible(), async_http::asio::detached);
   loop_.SetRoundHook([this] { Settle(); });
@@ -235,7 +235,7 @@
   for (const auto& [name, machine] : peers_.machines()) {
     replica->OnMachine(SteadyNow(), machine, /*spoke=*/false);
   }
-  replica->SetRetiring(emptying_.retiring());
+  replica->SetRetiring(retirement_.retiring());
   replicas_[group] = std::move(replica);
   return *replicas_[group];
 }
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -14,7 +14,7 @@
 #include "event_log/event_log.h"
 #include "roles/directory_keys.h"
 #include "roles/ledger/group_layout_record.h"
-#include "roles/ledger/machine_emptying.h"
+#include "roles/ledger/machine_retirement.h"
 #include "roles/ledger/persisted_mirrors.h"
 #include "roles/ledger/work_account.h"
 #include "roles/memory/memory_guard.h"
@@ -123,7 +123,7 @@
   peer_link link_;
   store::PrefixMirror directory_;
   group_layout_record layout_record_;
-  machine_emptying emptying_;
+  machine_retirement retirement_;
   persisted_mirrors persisted_mirrors_;
   PeerRegistry peers_;
   Ticker ticker_;
