--- a/src/roles/ledger/ledger_lines.cc
+++ b/src/roles/ledger/ledger_log_lines.cc
@@ -1,4 +1,4 @@
-#include "roles/ledger/ledger_lines.h"
+#include "roles/ledger/ledger_log_lines.h"
 
 #include <string>
 
@@ -75,23 +75,23 @@
     return line;
 }
 
-Line describe_work(const work_account::sums& sums, const storage::WriteBacklog& backlog)
+Line describe_work(const work_stats::totals& totals, const storage::WriteBacklog& backlog)
 {
     Line line("work_done");
-    for (std::size_t kind = 0; kind < sums.size(); ++kind)
+    for (std::size_t kind = 0; kind < totals.size(); ++kind)
     {
-        const work_done& sum = sums[kind];
-        std::string name = work_names[kind];
-        line.Number(name, sum.m_times)
-            .Number(name + "_ms", absl::ToInt64Milliseconds(sum.m_taken))
-            .Number(name + "_longest_ms", absl::ToInt64Milliseconds(sum.m_longest));
+        const work_total& total = totals[kind];
+        std::string name = work_kind_names[kind];
+        line.Number(name, total.m_count)
+            .Number(name + "_ms", absl::ToInt64Milliseconds(total.m_duration))
+            .Number(name + "_longest_ms", absl::ToInt64Milliseconds(total.m_max_duration));
     }
     line.Number("unflushed_tables", number(backlog.unflushed_tables))
         .Number("unmerged_files", number(backlog.unmerged_files))
         .Number("slowed_bytes_per_s", number(backlog.slowed_bytes_per_s))
         .Number("times_slowed", number(backlog.times_slowed))
         .Number("times_stopped", number(backlog.times_stopped))
-        .Number("chain_bytes", sums[static_cast<std::size_t>(work_kind::chain_reads)].m_bytes);
+        .Number("chain_bytes", totals[static_cast<std::size_t>(work_kind::chain_reads)].m_bytes);
     return line;
 }
 
--- a/src/roles/ledger/ledger_lines.h
+++ b/src/roles/ledger/ledger_log_lines.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 
 #include "event_log/event_log.h"
-#include "roles/ledger/work_account.h"
+#include "roles/ledger/work_stats.h"
 #include "storage/log_store.h"
 #include "turn_ledger/turn_replica.h"
 
@@ -20,6 +20,6 @@
                                   std::uint64_t synced_writes);
 
 /// @return the line with the event loop's work and the log store's write backlog
-event_log::Line describe_work(const work_account::sums& sums, const storage::WriteBacklog& backlog);
+event_log::Line describe_work(const work_stats::totals& totals, const storage::WriteBacklog& backlog);
 
 }  // namespace martenyard::roles
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -9,7 +9,7 @@
 #include "absl/strings/strip.h"
 #include "base/clock.h"
 #include "base/random.h"
-#include "roles/ledger/ledger_lines.h"
+#include "roles/ledger/ledger_log_lines.h"
 #include "roles/store_reachability_line.h"
 #include "roles/store_watch_options.h"
 #include "wire/codec.h"
@@ -307,8 +307,8 @@
     for (const consensus::Outbound& outbound : ready.messages_after_store) {
       SendRaft(group, outbound);
     }
-    work_.timed(work_kind::applying,
-                [&replica = replica, &ready = ready] { replica.Apply(ready); });
+    work_stats_.measure(work_kind::applying,
+                        [&replica = replica, &ready = ready] { replica.Apply(ready); });
     for (turn_ledger::ReplyTo& reply : replica.TakeReplies()) {
       link_.answer(reply.gateway, std::move(reply.reply), reply.layout);
     }
@@ -320,7 +320,7 @@
   std::string failure = Recover<storage::StorageError>(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(
-            work_.timed(work_kind::store_writes, [&] { return disk_->Write(writes); }));
+            work_stats_.measure(work_kind::store_writes, [&] { return disk_->Write(writes); }));
         return std::string();
       },
       [](const storage::StorageError& error) { return error.detail; });
@@ -414,7 +414,7 @@
   for (auto& [group, replica] : replicas_) {
     replica->Tick(now);
   }
-  work_.timed(work_kind::transfers, [this] {
+  work_stats_.measure(work_kind::transfers, [this] {
     for (auto& [group, replica] : replicas_) {
       SendTransfers(group, *replica);
     }
@@ -426,7 +426,7 @@
   // One group per tick. The loop must end here: a disk failure destroys all replicas.
   for (auto& [group, replica] : replicas_) {
     if (replica->TakesSnapshot()) {
-      work_.timed(work_kind::snapshot_steps, [this, group = group, &replica = *replica] {
+      work_stats_.measure(work_kind::snapshot_steps, [this, group = group, &replica = *replica] {
         StoreSnapshotStep(group, replica);
       });
       break;
@@ -472,8 +472,8 @@
 }
 
 void LedgerRole::LogWork() {
-  log_.Write(
-      describe_work(work_.take(), disk_ == nullptr ? storage::WriteBacklog{} : disk_->Backlog()));
+  log_.Write(describe_work(work_stats_.take(),
+                           disk_ == nullptr ? storage::WriteBacklog{} : disk_->Backlog()));
 }
 
 void LedgerRole::LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica) {
@@ -506,12 +506,13 @@
     NoteMachine(envelope.from, /*heard_now=*/true);
   }
   if (const auto* message = std::get_if<turn_ledger::LogMessage>(&envelope.body)) {
-    work_.timed(work_kind::log_messages, [&] { OnLogMessage(envelope.from, *message); });
+    work_stats_.measure(work_kind::log_messages, [&] { OnLogMessage(envelope.from, *message); });
   } else if (const auto* request = std::get_if<turn_ledger::LedgerRequest>(&envelope.body)) {
-    work_.timed(work_kind::requests,
-                [&] { OnRequest(envelope.from.endpoint, *request, read->m_layout); });
+    work_stats_.measure(work_kind::requests,
+                        [&] { OnRequest(envelope.from.endpoint, *request, read->m_layout); });
   } else if (const auto* chain = std::get_if<turn_ledger::chain_request>(&envelope.body)) {
-    work_.timed(work_kind::chain_reads, [&] { OnChainRequest(envelope.from.endpoint, *chain); });
+    work_stats_.measure(work_kind::chain_reads,
+                        [&] { OnChainRequest(envelope.from.endpoint, *chain); });
   } else if (const auto* hello = std::get_if<turn_ledger::Hello>(&envelope.body)) {
     OnHello(*hello);
   } else if (const auto* news = std::get_if<store::news_reply>(&envelope.body)) {
@@ -538,7 +539,7 @@
   const turn_ledger::TurnReplica* replica = Find(request.m_group);
   if (replica != nullptr && !replica->unreadable()) {
     reply = replica->state().ReadChain(request);
-    work_.add_bytes(work_kind::chain_reads, reply.m_text.size());
+    work_stats_.add_bytes(work_kind::chain_reads, reply.m_text.size());
   }
   link_.tell(from, std::move(reply));
 }
@@ -559,7 +560,8 @@
   }
   if (const auto* staged = std::get_if<consensus::StagedEntries>(&message.message)) {
     if (disk_ != nullptr) {
-      work_.timed(work_kind::staged_entries, [&] { OnStagedEntries(message.group, *staged); });
+      work_stats_.measure(work_kind::staged_entries,
+                          [&] { OnStagedEntries(message.group, *staged); });
     }
     return;
   }
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -16,7 +16,7 @@
 #include "roles/ledger/group_layout_record.h"
 #include "roles/ledger/machine_retirement.h"
 #include "roles/ledger/persisted_mirrors.h"
-#include "roles/ledger/work_account.h"
+#include "roles/ledger/work_stats.h"
 #include "roles/memory/memory_guard.h"
 #include "roles/peer_registry.h"
 #include "roles/peers/peer_link.h"
@@ -139,7 +139,7 @@
   std::map<GroupId, std::optional<LoggedRole>> logged_roles_;
   std::set<GroupId> halted_;  ///< Groups whose replica was logged as unreadable.
   std::uint64_t synced_writes_ = 0;
-  work_account work_;
+  work_stats work_stats_;
   memory_guard memory_;
   absl::Time next_memory_look_;
   Random random_;
