--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -22,49 +22,49 @@
 
 namespace {
 
-constexpr absl::Duration kTick = absl::Milliseconds(20);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(20);
 constexpr absl::Duration kHelloInterval = absl::Milliseconds(250);
 /// For machines with replicas, which also send log messages to many of the others.
-constexpr absl::Duration kMemberHelloInterval = absl::Milliseconds(400);
+constexpr absl::Duration kReplicaHelloInterval = absl::Milliseconds(400);
 /// Per known machine; limits hellos to 30 per second regardless of the number of machines.
-constexpr absl::Duration kHelloPauseForEach = absl::Milliseconds(33);
+constexpr absl::Duration kHelloIntervalPerMachine = absl::Milliseconds(33);
 /// A machine counts as alive if it was heard within this many hello intervals.
-constexpr double kLivePauses = 2.5;
+constexpr double kLivenessHelloIntervals = 2.5;
 /// Known machines listed in one hello of a machine without replicas; each hello lists a new sample.
-constexpr std::size_t kMostMachinesTold = 16;
-constexpr absl::Duration kReopenPause = absl::Milliseconds(250);
-constexpr absl::Duration kRegisterPause = absl::Seconds(1);
-constexpr absl::Duration kFoundingPause = absl::Milliseconds(200);
+constexpr std::size_t kMaxMachinesPerHello = 16;
+constexpr absl::Duration kDiskReopenDelay = absl::Milliseconds(250);
+constexpr absl::Duration kRegisterRetryDelay = absl::Seconds(1);
+constexpr absl::Duration kDirectoryPollInterval = absl::Milliseconds(200);
 /// With fewer machines than replicas, the groups are bootstrapped only after this time.
-constexpr absl::Duration kFoundingPatience = absl::Seconds(4);
+constexpr absl::Duration kBootstrapTimeout = absl::Seconds(4);
 /// Lets all machines of a starting deployment register before the group layout is written.
-constexpr absl::Duration kFoundingLinger = absl::Milliseconds(1500);
+constexpr absl::Duration kBootstrapSettleTime = absl::Milliseconds(1500);
 /// Stagger of the machines' bootstrap attempts; longer than a store write and its watch event.
-constexpr absl::Duration kFoundingTurn = absl::Milliseconds(150);
-constexpr absl::Duration kLoneFoundingLinger = absl::Milliseconds(300);
-constexpr absl::Duration kHandOverLimit = absl::Milliseconds(600);
-constexpr absl::Duration kMemoryInterval = absl::Milliseconds(200);
-constexpr absl::Duration kProgressInterval = absl::Seconds(2);
+constexpr absl::Duration kBootstrapStagger = absl::Milliseconds(150);
+constexpr absl::Duration kSingleReplicaSettleTime = absl::Milliseconds(300);
+constexpr absl::Duration kLeadershipTransferTimeout = absl::Milliseconds(600);
+constexpr absl::Duration kMemoryCheckInterval = absl::Milliseconds(200);
+constexpr absl::Duration kProgressLogInterval = absl::Seconds(2);
 /// Snapshot bytes stored per tick. Larger steps delay heartbeats on machines with little CPU.
 constexpr std::size_t kSnapshotStepBytes = std::size_t{64} << 10;
 /// Size of a snapshot part sent to a peer; the next part waits until the connection has room.
 constexpr std::size_t kTransferPartBytes = std::size_t{128} << 10;
 /// Limits unsent frames to peers to 1/6 of the memory limit.
-constexpr std::uint64_t kMemoryShareForFrames = 6;
-constexpr absl::Duration kFlushInterval = absl::Milliseconds(250);
-constexpr char kPeersFile[] = "peers";
+constexpr std::uint64_t kFrameMemoryDivisor = 6;
+constexpr absl::Duration kLogFlushInterval = absl::Milliseconds(250);
+constexpr char kPeersFileName[] = "peers";
 
-std::size_t WantedReplicas(const RoleSettings& settings) {
+std::size_t ReplicasPerGroup(const RoleSettings& settings) {
   return 2 * settings.tolerated_failures + 1;
 }
 
 /// Scaled up on machines with little CPU, whose uninterruptible steps (reading a log, applying
 /// committed entries) take longer and must not cause an election.
 absl::Duration ElectionTimeout(const RoleSettings& settings) {
-  constexpr absl::Duration kQuickMachine = absl::Milliseconds(220);
-  constexpr double kQuickShare = 0.25;
-  constexpr double kSlowest = 3;
-  return kQuickMachine * std::clamp(kQuickShare / settings.processor_share, 1.0, kSlowest);
+  constexpr absl::Duration kBaseTimeout = absl::Milliseconds(220);
+  constexpr double kFullSpeedShare = 0.25;
+  constexpr double kMaxSlowdown = 3;
+  return kBaseTimeout * std::clamp(kFullSpeedShare / settings.processor_share, 1.0, kMaxSlowdown);
 }
 
 turn_ledger::ReplicaOptions MakeReplicaOptions(const RoleSettings& settings, GroupId group,
@@ -73,12 +73,12 @@
   options.raft.election_timeout = ElectionTimeout(settings);
   options.raft.heartbeat_interval = absl::Milliseconds(60);
   options.raft.start_wait_share = 0.4;
-  options.planner.replicas = WantedReplicas(settings);
+  options.planner.replicas = ReplicasPerGroup(settings);
   options.quota = settings.quota;
   options.planner.group = group.value;
   options.planner.live_within =
-      std::max(options.planner.live_within,
-               kHelloPauseForEach * kLivePauses * static_cast<double>(known_machines));
+      std::max(options.planner.live_within, kHelloIntervalPerMachine * kLivenessHelloIntervals *
+                                                static_cast<double>(known_machines));
   options.preferred_leaders =
       group != turn_ledger::group_at(0) && settings.policy.on(mechanism::hand_back);
   if (!settings.policy.on(mechanism::overload_refusal)) {
@@ -108,7 +108,7 @@
       transport_(
           loop, [this](const std::string& payload) { OnFrame(payload); },
           [this](const std::string& payload) { persisted_mirrors_.on_datagram(payload); },
-          [this](const wire::Endpoint& peer, absl::Time) { OnDead(peer); }),
+          [this](const wire::Endpoint& peer, absl::Time) { OnPeerDown(peer); }),
       link_(
           transport_, [this] { return Self(); }, log),
       directory_(
@@ -126,22 +126,22 @@
       persisted_mirrors_(
           loop.context(), settings_, formats, store, transport_, directory_,
           [this] { return Self(); }, log),
-      peers_(settings.data_folder + "/" + kPeersFile, log),
-      ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }),
+      peers_(settings.data_folder + "/" + kPeersFileName, log),
+      ticker_(loop, kTickInterval, log, [this](absl::Time now) { Tick(now); }),
       memory_(settings.memory_bytes),
       random_(SystemSeed()) {}
 
 Result<void> LedgerRole::Start() {
   BOOST_LEAF_AUTO(bound, transport_.Listen({settings_.address, settings_.internal_port}));
   settings_.internal_port = bound.port;
-  transport_.LimitUnsent(settings_.memory_bytes / kMemoryShareForFrames);
+  transport_.LimitUnsent(settings_.memory_bytes / kFrameMemoryDivisor);
   OpenDisk();
   persisted_mirrors_.start();
   directory_.Start();
   retirement_.start();
   async_http::asio::co_spawn(loop_.context(), Register(), async_http::asio::detached);
-  async_http::asio::co_spawn(loop_.context(), FoundWhenPossible(), async_http::asio::detached);
-  loop_.SetRoundHook([this] { Settle(); });
+  async_http::asio::co_spawn(loop_.context(), BootstrapGroups(), async_http::asio::detached);
+  loop_.SetRoundHook([this] { ProcessReady(); });
   ticker_.Start();
   return {};
 }
@@ -173,23 +173,23 @@
   disk_.reset();
   log_.Write(Line("disk_failed").Text("detail", failure->detail));
   if (failure->code == storage::StorageError::Code::kDamaged) {
-    SetDamagedLogAside();
+    QuarantineDamagedLog();
   }
-  loop_.After(kReopenPause, [this] { OpenDisk(); });
+  loop_.After(kDiskReopenDelay, [this] { OpenDisk(); });
 }
 
-void LedgerRole::SetDamagedLogAside() {
+void LedgerRole::QuarantineDamagedLog() {
   // A replica with a damaged log must not vote: this machine rejoins under a new identity.
   std::filesystem::path folder = std::filesystem::path(settings_.data_folder) / kLogFolder;
-  std::filesystem::path aside = folder.string() + ".damaged";
+  std::filesystem::path quarantine = folder.string() + ".damaged";
   std::error_code error;
-  std::filesystem::remove_all(aside, error);
+  std::filesystem::remove_all(quarantine, error);
   if (!error) {
-    std::filesystem::rename(folder, aside, error);
+    std::filesystem::rename(folder, quarantine, error);
   }
   // The log is reopened in any case; if the rename failed, it is found damaged again.
   log_.Write(Line("log_set_aside")
-                 .Text("folder", aside.string())
+                 .Text("folder", quarantine.string())
                  .Text("error", error ? error.message() : ""));
 }
 
@@ -223,7 +223,7 @@
   log_.Write(Line("disk_failed").Text("detail", detail));
   replicas_.clear();
   disk_.reset();
-  loop_.After(kReopenPause, [this] { OpenDisk(); });
+  loop_.After(kDiskReopenDelay, [this] { OpenDisk(); });
 }
 
 turn_ledger::TurnReplica& LedgerRole::StartReplica(GroupId group,
@@ -259,20 +259,20 @@
   return found == replicas_.end() ? nullptr : found->second.get();
 }
 
-void LedgerRole::Settle() {
+void LedgerRole::ProcessReady() {
   auto has_work = [](const auto& entry) { return entry.second->HasWork(); };
   while (std::any_of(replicas_.begin(), replicas_.end(), has_work)) {
-    if (!SettleOnce()) {
+    if (!ProcessReadyOnce()) {
       return;
     }
   }
   for (const auto& [group, replica] : replicas_) {
-    LogLeadership(group, *replica);
-    LogUnreadable(group, *replica);
+    LogReplicaRole(group, *replica);
+    LogHaltedReplica(group, *replica);
   }
 }
 
-bool LedgerRole::SettleOnce() {
+bool LedgerRole::ProcessReadyOnce() {
   // The writes of all groups share one sync.
   std::vector<std::pair<GroupId, consensus::Ready>> readies;
   std::vector<storage::GroupWrite> writes;
@@ -394,7 +394,7 @@
   }
 }
 
-void LedgerRole::WatchMemory() {
+void LedgerRole::CheckMemory() {
   bool was_full = memory_.full();
   std::uint64_t used = allocated_bytes();
   bool full = memory_.judge(used);
@@ -419,9 +419,9 @@
       SendTransfers(group, *replica);
     }
   });
-  if (now >= next_memory_look_) {
-    next_memory_look_ = now + kMemoryInterval;
-    WatchMemory();
+  if (now >= next_memory_check_) {
+    next_memory_check_ = now + kMemoryCheckInterval;
+    CheckMemory();
   }
   // One group per tick. The loop must end here: a disk failure destroys all replicas.
   for (auto& [group, replica] : replicas_) {
@@ -434,15 +434,15 @@
   }
   persisted_mirrors_.tick();
   if (now >= next_hello_) {
-    next_hello_ = now + HelloPause();
-    SayHello();
+    next_hello_ = now + HelloInterval();
+    SendHello();
   }
-  if (now >= next_flush_) {
-    next_flush_ = now + kFlushInterval;
+  if (now >= next_log_flush_) {
+    next_log_flush_ = now + kLogFlushInterval;
     log_.Flush();
   }
-  if (now >= next_progress_) {
-    next_progress_ = now + kProgressInterval;
+  if (now >= next_progress_log_) {
+    next_progress_log_ = now + kProgressLogInterval;
     for (const auto& [group, replica] : replicas_) {
       LogProgress(group, *replica);
     }
@@ -460,7 +460,7 @@
 
 void LedgerRole::RequestStop() {
   stopping_ = true;
-  stop_deadline_ = SteadyNow() + kHandOverLimit;
+  stop_deadline_ = SteadyNow() + kLeadershipTransferTimeout;
   log_.Write(Line("stopping"));
   for (auto& [group, replica] : replicas_) {
     replica->HandOver();
@@ -476,20 +476,20 @@
                            disk_ == nullptr ? storage::WriteBacklog{} : disk_->Backlog()));
 }
 
-void LedgerRole::LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica) {
-  if (replica.unreadable() && halted_.insert(group).second) {
+void LedgerRole::LogHaltedReplica(GroupId group, const turn_ledger::TurnReplica& replica) {
+  if (replica.unreadable() && halted_groups_.insert(group).second) {
     log_.Write(Line("replica_halted")
                    .Number("group", group.value)
                    .Number("index", static_cast<std::int64_t>(*replica.unreadable())));
   }
 }
 
-void LedgerRole::LogLeadership(GroupId group, const turn_ledger::TurnReplica& replica) {
+void LedgerRole::LogReplicaRole(GroupId group, const turn_ledger::TurnReplica& replica) {
   const consensus::Raft& raft = replica.raft();
-  LoggedRole present{raft.role(), raft.term(), raft.configuration()};
+  LoggedRole current{raft.role(), raft.term(), raft.configuration()};
   std::optional<LoggedRole>& logged = logged_roles_[group];
-  if (logged != present) {
-    logged = present;
+  if (logged != current) {
+    logged = current;
     log_.Write(describe_replica_role(group, raft));
   }
 }
@@ -503,7 +503,7 @@
   }
   turn_ledger::Envelope& envelope = read->m_envelope;
   if (envelope.from.identity != kNoNode) {
-    NoteMachine(envelope.from, /*heard_now=*/true);
+    UpdateMachine(envelope.from, /*heard_directly=*/true);
   }
   if (const auto* message = std::get_if<turn_ledger::LogMessage>(&envelope.body)) {
     work_stats_.measure(work_kind::log_messages, [&] { OnLogMessage(envelope.from, *message); });
@@ -577,16 +577,16 @@
 void LedgerRole::OnHello(const turn_ledger::Hello& hello) {
   for (const Machine& machine : hello.known) {
     if (!peers_.Contains(machine.name)) {
-      NoteMachine(machine, /*heard_now=*/false);
+      UpdateMachine(machine, /*heard_directly=*/false);
     }
   }
 }
 
-void LedgerRole::NoteMachine(const Machine& machine, bool heard_now) {
+void LedgerRole::UpdateMachine(const Machine& machine, bool heard_directly) {
   if (machine.name == settings_.node || machine.name.empty()) {
     return;
   }
-  if (heard_now) {
+  if (heard_directly) {
     peers_.MarkHeardFrom(machine.name);
   }
   bool changed = peers_.Update(machine);
@@ -596,14 +596,14 @@
                    .Text("identity", absl::StrCat(absl::Hex(machine.identity.value)))
                    .Text("address", machine.endpoint.ToString()));
   }
-  if (heard_now || changed) {
+  if (heard_directly || changed) {
     for (auto& [group, replica] : replicas_) {
-      replica->OnMachine(SteadyNow(), machine, heard_now);
+      replica->OnMachine(SteadyNow(), machine, heard_directly);
     }
   }
 }
 
-bool LedgerRole::HeardAnyway() {
+bool LedgerRole::HelloIsRedundant() {
   // With several groups, the leaders of groups without this machine need its hellos to know that it
   // is available as a replacement.
   const turn_ledger::group_layout* layout = layout_record_.layout();
@@ -616,13 +616,13 @@
   return raft.configuration().IsVoter(identity_) && (raft.IsLeader() || raft.leader() != kNoNode);
 }
 
-absl::Duration LedgerRole::HelloPause() const {
-  absl::Duration least = replicas_.empty() ? kHelloInterval : kMemberHelloInterval;
-  return std::max(least, kHelloPauseForEach * peers_.machines().size());
+absl::Duration LedgerRole::HelloInterval() const {
+  absl::Duration min_interval = replicas_.empty() ? kHelloInterval : kReplicaHelloInterval;
+  return std::max(min_interval, kHelloIntervalPerMachine * peers_.machines().size());
 }
 
-void LedgerRole::SayHello() {
-  if (identity_ == kNoNode || HeardAnyway()) {
+void LedgerRole::SendHello() {
+  if (identity_ == kNoNode || HelloIsRedundant()) {
     return;
   }
   turn_ledger::Hello hello;
@@ -631,7 +631,7 @@
     for (const auto& [name, machine] : peers_.machines()) {
       known.push_back(machine);
     }
-    std::sample(known.begin(), known.end(), std::back_inserter(hello.known), kMostMachinesTold,
+    std::sample(known.begin(), known.end(), std::back_inserter(hello.known), kMaxMachinesPerHello,
                 random_.engine());
   }
   for (const auto& [name, machine] : peers_.machines()) {
@@ -647,7 +647,7 @@
   }
 }
 
-void LedgerRole::OnDead(const wire::Endpoint& peer) {
+void LedgerRole::OnPeerDown(const wire::Endpoint& peer) {
   for (const auto& [name, machine] : peers_.machines()) {
     if (machine.endpoint != peer || replicas_.empty()) {
       continue;
@@ -675,7 +675,7 @@
   if (auto machine = wire::Decode<Machine>(*change.value)) {
     // The store's record may be older than what the machine itself sent to this process.
     if (!peers_.HasHeardFrom(machine->name)) {
-      NoteMachine(*machine, /*heard_now=*/false);
+      UpdateMachine(*machine, /*heard_directly=*/false);
     }
   }
 }
@@ -683,19 +683,19 @@
 Task<void> LedgerRole::Register() {
   std::string key = absl::StrCat(kLedgerMachinesPrefix, settings_.node);
   while (true) {
-    auto present = directory_.items().find(key);
-    bool known = present != directory_.items().end();
+    auto record = directory_.items().find(key);
+    bool registered = record != directory_.items().end();
     std::string wanted = wire::Encode(Self());
     bool due = identity_ != kNoNode && directory_.complete() &&
-               (!known || present->second.value != wanted);
+               (!registered || record->second.value != wanted);
     if (due) {
       store::Transaction transaction;
-      transaction.conditions.push_back({key, known ? present->second.revision : 0});
+      transaction.conditions.push_back({key, registered ? record->second.revision : 0});
       transaction.puts.push_back({key, wanted, 0});
       co_await store_.Commit(std::move(transaction));
-      co_await async_http::Sleep(loop_.context(), kRegisterPause);
+      co_await async_http::Sleep(loop_.context(), kRegisterRetryDelay);
     }
-    co_await async_http::Sleep(loop_.context(), kFoundingPause);
+    co_await async_http::Sleep(loop_.context(), kDirectoryPollInterval);
   }
 }
 
@@ -705,7 +705,7 @@
   }
 }
 
-void LedgerRole::FoundFromRecord() {
+void LedgerRole::StartRecordedGroups() {
   const turn_ledger::group_layout* layout = layout_record_.layout();
   for (std::size_t index = 0; layout != nullptr && index < layout->size(); ++index) {
     GroupId group = turn_ledger::group_at(index);
@@ -729,15 +729,15 @@
   }
 }
 
-Task<void> LedgerRole::FoundWhenPossible() {
-  absl::Time began = SteadyNow();
+Task<void> LedgerRole::BootstrapGroups() {
+  absl::Time start_time = SteadyNow();
   while (true) {
-    co_await async_http::Sleep(loop_.context(), kFoundingPause);
+    co_await async_http::Sleep(loop_.context(), kDirectoryPollInterval);
     if (!directory_.complete()) {
       continue;
     }
     if (directory_.items().contains(kLedgerGroupsKey)) {
-      FoundFromRecord();
+      StartRecordedGroups();
       continue;
     }
     if (!settings_.first_start) {
@@ -752,16 +752,17 @@
         machines.push_back(*machine);
       }
     }
-    std::size_t wanted = WantedReplicas(settings_);
+    std::size_t wanted = ReplicasPerGroup(settings_);
     // Staggered by name, so that usually only the first machine writes the record.
-    auto before = static_cast<double>(
+    auto preceding = static_cast<double>(
         std::count_if(machines.begin(), machines.end(),
                       [this](const Machine& machine) { return machine.name < settings_.node; }));
-    absl::Time own_turn = began + kFoundingTurn * before;
-    bool patient = SteadyNow() < began + kFoundingPatience;
-    absl::Duration linger = wanted > 1 ? kFoundingLinger : kLoneFoundingLinger;
-    bool all_here = machines.size() >= wanted && SteadyNow() > began + linger;
-    if (machines.empty() || (!all_here && patient) || SteadyNow() < own_turn + linger) {
+    absl::Time own_attempt = start_time + kBootstrapStagger * preceding;
+    bool may_wait = SteadyNow() < start_time + kBootstrapTimeout;
+    absl::Duration settle_time = wanted > 1 ? kBootstrapSettleTime : kSingleReplicaSettleTime;
+    bool all_registered = machines.size() >= wanted && SteadyNow() > start_time + settle_time;
+    if (machines.empty() || (!all_registered && may_wait) ||
+        SteadyNow() < own_attempt + settle_time) {
       continue;
     }
     store::Transaction transaction;
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -57,21 +57,21 @@
  private:
   void OpenDisk();
   Result<void> LoadDisk();
-  void SetDamagedLogAside();
+  void QuarantineDamagedLog();
   turn_ledger::TurnReplica& StartReplica(GroupId group, consensus::RestoredState restored);
   std::optional<consensus::Entry> ReadStored(GroupId group, consensus::EntryId entry);
   turn_ledger::TurnReplica* Find(GroupId group);
   void Tick(absl::Time now);
   /// Stores, sends and applies until no replica has pending work.
-  void Settle();
+  void ProcessReady();
   /// One pass over all replicas. @return false when the disk failed.
-  bool SettleOnce();
+  bool ProcessReadyOnce();
   /// Writes with one sync. @return false when the disk failed.
   bool Store(const std::vector<storage::GroupWrite>& writes);
   /// Stores the next part of the replica's snapshot in progress, if any.
   void StoreSnapshotStep(GroupId group, turn_ledger::TurnReplica& replica);
   /// Makes the replicas refuse new reservations while this process is near its memory limit.
-  void WatchMemory();
+  void CheckMemory();
   /// Sends the next parts of snapshots to other group members.
   void SendTransfers(GroupId group, turn_ledger::TurnReplica& replica);
   void OnStagedEntries(GroupId group, const consensus::StagedEntries& staged);
@@ -82,25 +82,25 @@
                  wire::Layout layout);
   void OnChainRequest(const wire::Endpoint& from, const turn_ledger::chain_request& request);
   void OnHello(const turn_ledger::Hello& hello);
-  void OnDead(const wire::Endpoint& peer);
-  void NoteMachine(const turn_ledger::Machine& machine, bool heard_now);
+  void OnPeerDown(const wire::Endpoint& peer);
+  void UpdateMachine(const turn_ledger::Machine& machine, bool heard_directly);
   /// @return the time between two hellos, which grows with the number of known machines.
-  absl::Duration HelloPause() const;
-  void SayHello();
+  absl::Duration HelloInterval() const;
+  void SendHello();
   void SendRaft(GroupId group, const consensus::Outbound& outbound);
   /// @return whether log messages already show all peers that this machine is alive.
-  bool HeardAnyway();
+  bool HelloIsRedundant();
 
   void OnDirectoryChange(const store::StoreChange& change);
   /// Receives the machines that the operator wants retired.
   void OnRetiring(const std::vector<std::string>& machines);
   async_http::Task<void> Register();
-  async_http::Task<void> FoundWhenPossible();
-  void FoundFromRecord();
+  async_http::Task<void> BootstrapGroups();
+  void StartRecordedGroups();
 
-  void LogLeadership(GroupId group, const turn_ledger::TurnReplica& replica);
+  void LogReplicaRole(GroupId group, const turn_ledger::TurnReplica& replica);
   /// Logs once that a replica can't read an entry written by a later build.
-  void LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica);
+  void LogHaltedReplica(GroupId group, const turn_ledger::TurnReplica& replica);
   void LogProgress(GroupId group, const turn_ledger::TurnReplica& replica);
   void LogWork();
   turn_ledger::Machine Self() const;
@@ -134,14 +134,14 @@
   bool stopping_ = false;
   absl::Time stop_deadline_;
   absl::Time next_hello_;
-  absl::Time next_flush_;
-  absl::Time next_progress_;
+  absl::Time next_log_flush_;
+  absl::Time next_progress_log_;
   std::map<GroupId, std::optional<LoggedRole>> logged_roles_;
-  std::set<GroupId> halted_;  ///< Groups whose replica was logged as unreadable.
+  std::set<GroupId> halted_groups_;  ///< Groups whose replica was logged as unreadable.
   std::uint64_t synced_writes_ = 0;
   work_stats work_stats_;
   memory_guard memory_;
-  absl::Time next_memory_look_;
+  absl::Time next_memory_check_;
   Random random_;
 };
 
