--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -397,7 +397,7 @@
 void LedgerRole::CheckMemory() {
   bool was_full = memory_.full();
   std::uint64_t used = allocated_bytes();
-  bool full = memory_.judge(used);
+  bool full = memory_.update(used);
   for (auto& [group, replica] : replicas_) {
     replica->SetFull(full);
   }
--- a/src/roles/memory/memory_guard.cc
+++ b/src/roles/memory/memory_guard.cc
@@ -10,7 +10,7 @@
 {
 }
 
-bool memory_guard::judge(std::uint64_t used)
+bool memory_guard::update(std::uint64_t used)
 {
     double share = static_cast<double>(used) / static_cast<double>(m_limit);
     m_full = share >= (m_full ? m_options.m_free_share : m_options.m_full_share);
--- a/src/roles/memory/memory_guard.h
+++ b/src/roles/memory/memory_guard.h
@@ -24,7 +24,7 @@
 
     /// @param[in] used  bytes in use
     /// @return whether the process is full
-    bool judge(std::uint64_t used);
+    bool update(std::uint64_t used);
 
     /// @return the last decision
     bool full() const;
--- a/tests/roles/memory_guard_test.cc
+++ b/tests/roles/memory_guard_test.cc
@@ -8,16 +8,16 @@
 namespace martenyard::roles {
 namespace {
 
-TEST(MemoryGuardTest, FullNearTheLimitAndFreeOnlyWellBelow) {
+TEST(MemoryGuardTest, HasHysteresisNearTheLimit) {
   memory_guard guard(1000);
-  EXPECT_FALSE(guard.judge(790));
-  EXPECT_TRUE(guard.judge(800));
-  EXPECT_TRUE(guard.judge(730)) << "not yet below the lower threshold";
-  EXPECT_FALSE(guard.judge(710));
-  EXPECT_FALSE(guard.judge(790));
+  EXPECT_FALSE(guard.update(790));
+  EXPECT_TRUE(guard.update(800));
+  EXPECT_TRUE(guard.update(730)) << "not yet below the lower threshold";
+  EXPECT_FALSE(guard.update(710));
+  EXPECT_FALSE(guard.update(790));
 }
 
-TEST(MemoryGuardTest, AllocatorTellsOfLargeBlocks) {
+TEST(MemoryGuardTest, AllocatedBytesIncludeLargeBlocks) {
   constexpr std::size_t kBytes = std::size_t{32} << 20;
   std::uint64_t before = allocated_bytes();
   std::vector<char> block(kBytes, 'x');
