--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -191,7 +191,7 @@
   state_->ledger = std::make_unique<turn_ledger::LedgerClient>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::LedgerRequest& request) {
-        link_.ask(to, request);
+        link_.send_request(to, request);
       },
       LedgerOptions(settings.policy), state_->random.NextId() >> 16U);
   state_->quotas = std::make_unique<forwarding::quota_client>(
@@ -199,7 +199,7 @@
   state_->chains = std::make_unique<turn_ledger::chain_reader>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::chain_request& request) {
-        link_.ask(to, request);
+        link_.send_request(to, request);
       },
       ZoneName(settings.zone), state_->random.NextId() >> 16U);
   state_->on_placement = [this](const forwarding::PromptPart& part, std::uint32_t runner) {
@@ -416,7 +416,7 @@
   reply.request = request.request;
   reply.status = result ? turn_ledger::ReplyStatus::kDone : turn_ledger::ReplyStatus::kOverloaded;
   reply.result = std::move(result.result);
-  link_.answer(peer, std::move(reply), layout);
+  link_.send_reply(peer, std::move(reply), layout);
 }
 
 // ---- Periodic work ----
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -310,7 +310,7 @@
     work_stats_.measure(work_kind::applying,
                         [&replica = replica, &ready = ready] { replica.Apply(ready); });
     for (turn_ledger::ReplyTo& reply : replica.TakeReplies()) {
-      link_.answer(reply.gateway, std::move(reply.reply), reply.layout);
+      link_.send_reply(reply.gateway, std::move(reply.reply), reply.layout);
     }
   }
   return true;
@@ -529,7 +529,7 @@
   turn_ledger::LedgerReply reply;
   reply.request = request.request;
   reply.status = turn_ledger::ReplyStatus::kNotLeader;
-  link_.answer(from, reply, layout);
+  link_.send_reply(from, reply, layout);
 }
 
 void LedgerRole::OnChainRequest(const wire::Endpoint& from,
@@ -541,13 +541,13 @@
     reply = replica->state().ReadChain(request);
     work_stats_.add_bytes(work_kind::chain_reads, reply.m_text.size());
   }
-  link_.tell(from, std::move(reply));
+  link_.send_message(from, std::move(reply));
 }
 
 void LedgerRole::OnLogMessage(const Machine& from, const turn_ledger::LogMessage& message) {
   if (message.to != identity_) {
     // Sent to the identity of a lost disk: announces the current one.
-    link_.tell(from.endpoint, turn_ledger::Hello{});
+    link_.send_message(from.endpoint, turn_ledger::Hello{});
     return;
   }
   if (Find(message.group) == nullptr && disk_ != nullptr) {
@@ -635,13 +635,13 @@
                 random_.engine());
   }
   for (const auto& [name, machine] : peers_.machines()) {
-    link_.tell(machine.endpoint, hello);
+    link_.send_message(machine.endpoint, hello);
   }
   if (peers_.machines().empty()) {
     // A new disk, and the store that lists the other machines is unavailable.
     for (const wire::Endpoint& seed : settings_.seeds) {
       if (seed.address != settings_.address) {
-        link_.tell(seed, hello);
+        link_.send_message(seed, hello);
       }
     }
   }
@@ -661,7 +661,8 @@
 
 void LedgerRole::SendRaft(GroupId group, const consensus::Outbound& outbound) {
   if (const Machine* machine = peers_.Find(outbound.to)) {
-    link_.tell(machine->endpoint, turn_ledger::LogMessage{outbound.to, group, outbound.message});
+    link_.send_message(machine->endpoint,
+                       turn_ledger::LogMessage{outbound.to, group, outbound.message});
   }
 }
 
--- a/src/roles/peers/peer_link.cc
+++ b/src/roles/peers/peer_link.cc
@@ -40,67 +40,67 @@
 
 // ---- Sending ----
 
-void peer_link::ask(const wire::Endpoint& to, Body request)
+void peer_link::send_request(const wire::Endpoint& to, Body request)
 {
     instant now = SteadyInstant();
-    bool unknown = m_layouts.note_request(now, to);
+    bool needs_greeting = m_layouts.note_request(now, to);
     std::optional<Layout> reads = m_layouts.of(to);
-    if (unknown)
+    if (needs_greeting)
     {
-        greet(to, /*wants_answer=*/true);
-        probe(to);
+        send_greeting(to, /*wants_answer=*/true);
+        send_probes(to);
     }
     if (reads)
     {
-        send_request(to, std::move(request), *reads);
+        send_request_in_layout(to, std::move(request), *reads);
         return;
     }
-    hold(now, to, std::move(request));
+    enqueue(now, to, std::move(request));
 }
 
-void peer_link::hold(instant now, const wire::Endpoint& to, Body request)
+void peer_link::enqueue(instant now, const wire::Endpoint& to, Body request)
 {
-    std::vector<waiting_request> waiting = take_waiting(now, to);
+    std::vector<pending_request> pending = take_pending(now, to);
     std::size_t bytes = wire::Encode(request).size();
-    waiting.push_back({now, bytes, std::move(request)});
-    for (waiting_request& each : waiting)
+    pending.push_back({now, bytes, std::move(request)});
+    for (pending_request& entry : pending)
     {
-        if (m_waiting_bytes + each.m_bytes > m_options.m_most_waiting_bytes)
+        if (m_pending_bytes + entry.m_bytes > m_options.m_max_pending_bytes)
         {
             ++m_stats.m_dropped;
             continue;
         }
-        m_waiting_bytes += each.m_bytes;
-        m_waiting[to].push_back(std::move(each));
+        m_pending_bytes += entry.m_bytes;
+        m_pending[to].push_back(std::move(entry));
     }
 }
 
-std::vector<peer_link::waiting_request> peer_link::take_waiting(instant now, const wire::Endpoint& peer)
+std::vector<peer_link::pending_request> peer_link::take_pending(instant now, const wire::Endpoint& peer)
 {
-    auto found = m_waiting.extract(peer);
+    auto found = m_pending.extract(peer);
     if (found.empty())
     {
         return {};
     }
-    std::vector<waiting_request> waiting = std::move(found.mapped());
-    for (const waiting_request& taken : waiting)
+    std::vector<pending_request> pending = std::move(found.mapped());
+    for (const pending_request& queued : pending)
     {
-        m_waiting_bytes -= taken.m_bytes;
+        m_pending_bytes -= queued.m_bytes;
     }
-    m_stats.m_dropped += std::erase_if(waiting,
-                                       [&](const waiting_request& taken)
+    m_stats.m_dropped += std::erase_if(pending,
+                                       [&](const pending_request& queued)
                                        {
-                                           return now - taken.m_since > m_options.m_longest_wait;
+                                           return now - queued.m_queued_at > m_options.m_max_pending_age;
                                        });
-    return waiting;
+    return pending;
 }
 
-void peer_link::answer(const wire::Endpoint& to, Body body, Layout layout)
+void peer_link::send_reply(const wire::Endpoint& to, Body body, Layout layout)
 {
     send(to, std::move(body), layout);
 }
 
-void peer_link::tell(const wire::Endpoint& to, Body body)
+void peer_link::send_message(const wire::Endpoint& to, Body body)
 {
     send(to, std::move(body), wire::kOldestLayout);
 }
@@ -114,10 +114,10 @@
     }
 }
 
-void peer_link::send_request(const wire::Endpoint& to, Body request, Layout layout)
+void peer_link::send_request_in_layout(const wire::Endpoint& to, Body request, Layout layout)
 {
-    const auto* asked = std::get_if<turn_ledger::LedgerRequest>(&request);
-    std::uint64_t number = asked == nullptr ? 0 : asked->request;
+    const auto* ledger_request = std::get_if<turn_ledger::LedgerRequest>(&request);
+    std::uint64_t request_number = ledger_request == nullptr ? 0 : ledger_request->request;
     auto payload = turn_ledger::encode_frame({m_self(), std::move(request)}, layout);
     if (payload)
     {
@@ -125,18 +125,18 @@
     }
     else if (m_on_unsupported)
     {
-        m_on_unsupported(to, number);
+        m_on_unsupported(to, request_number);
     }
 }
 
-void peer_link::greet(const wire::Endpoint& to, bool wants_answer)
+void peer_link::send_greeting(const wire::Endpoint& to, bool wants_answer)
 {
-    ++m_stats.m_greetings;
+    ++m_stats.m_greetings_sent;
     turn_ledger::Machine self = m_self();
     m_transport.SendFrame(to, wire::EncodeGreeting({self.endpoint, self.name, BuildName(), wants_answer}));
 }
 
-void peer_link::probe(const wire::Endpoint& to)
+void peer_link::send_probes(const wire::Endpoint& to)
 {
     // Replies to probes carry the request number 0, which no ledger call uses.
     turn_ledger::LedgerRequest request;
@@ -147,38 +147,38 @@
     }
 }
 
-void peer_link::send_waiting(const wire::Endpoint& to, Layout layout)
+void peer_link::send_pending(const wire::Endpoint& to, Layout layout)
 {
-    for (waiting_request& request : take_waiting(SteadyInstant(), to))
+    for (pending_request& request : take_pending(SteadyInstant(), to))
     {
-        send_request(to, std::move(request.m_body), layout);
+        send_request_in_layout(to, std::move(request.m_body), layout);
     }
 }
 
 void peer_link::on_closed(const wire::Endpoint& peer)
 {
     m_layouts.note_closed(peer);
-    m_stats.m_dropped += take_waiting(SteadyInstant(), peer).size();
+    m_stats.m_dropped += take_pending(SteadyInstant(), peer).size();
 }
 
 // ---- Receiving ----
 
 std::optional<turn_ledger::read_message> peer_link::read(const std::string& payload)
 {
-    turn_ledger::frame came = turn_ledger::decode_frame(payload);
-    if (auto* message = std::get_if<turn_ledger::read_message>(&came))
+    turn_ledger::frame decoded = turn_ledger::decode_frame(payload);
+    if (auto* message = std::get_if<turn_ledger::read_message>(&decoded))
     {
         const turn_ledger::Machine& from = message->m_envelope.from;
-        note_heard(from.endpoint, from.name, message->m_sender_reads);
+        on_frame_received(from.endpoint, from.name, message->m_sender_reads);
         return std::move(*message);
     }
-    if (const auto* greeting = std::get_if<turn_ledger::greeting_frame>(&came))
+    if (const auto* greeting = std::get_if<turn_ledger::greeting_frame>(&decoded))
     {
         on_greeting(greeting->m_greeting, greeting->m_newest);
     }
-    else if (const auto* unreadable = std::get_if<turn_ledger::unreadable_frame>(&came))
+    else if (const auto* unreadable = std::get_if<turn_ledger::unreadable_frame>(&decoded))
     {
-        tell_unreadable(*unreadable, payload.size());
+        log_unreadable(*unreadable, payload.size());
     }
     return std::nullopt;
 }
@@ -192,17 +192,18 @@
                         .Text("build", greeting.build)
                         .Number("newest", newest));
     }
-    note_heard(greeting.from, greeting.node, turn_ledger::common_layout(newest));
+    on_frame_received(greeting.from, greeting.node, turn_ledger::common_layout(newest));
     if (greeting.wants_answer)
     {
-        greet(greeting.from, /*wants_answer=*/false);
+        send_greeting(greeting.from, /*wants_answer=*/false);
     }
 }
 
-void peer_link::note_heard(const wire::Endpoint& from, const std::string& name, std::optional<Layout> reads)
+void peer_link::on_frame_received(const wire::Endpoint& from, const std::string& name,
+                                  std::optional<Layout> reads)
 {
-    bool news = m_layouts.note_heard(from, reads);
-    if (!news)
+    bool changed = m_layouts.note_heard(from, reads);
+    if (!changed)
     {
         return;
     }
@@ -213,23 +214,23 @@
                         .Text("address", from.ToString())
                         .Number("layout", static_cast<std::int64_t>(*reads)));
     }
-    send_waiting(from, *reads);
+    send_pending(from, *reads);
 }
 
-void peer_link::tell_unreadable(const turn_ledger::unreadable_frame& told, std::size_t bytes)
+void peer_link::log_unreadable(const turn_ledger::unreadable_frame& details, std::size_t bytes)
 {
     ++m_stats.m_unreadable;
     instant now = SteadyInstant();
-    if (m_last_line && now - *m_last_line < m_options.m_line_pause)
+    if (m_last_logged && now - *m_last_logged < m_options.m_min_log_interval)
     {
         return;
     }
-    m_last_line = now;
+    m_last_logged = now;
     m_log.Write(Line("frame_unreadable")
                     .Number("bytes", static_cast<std::int64_t>(bytes))
-                    .Text("from", told.m_from)
-                    .Number("layout", told.m_layout)
-                    .Number("newest", told.m_newest)
+                    .Text("from", details.m_from)
+                    .Number("layout", details.m_layout)
+                    .Number("newest", details.m_newest)
                     .Number("so_far", static_cast<std::int64_t>(m_stats.m_unreadable)));
 }
 
--- a/src/roles/peers/peer_link.h
+++ b/src/roles/peers/peer_link.h
@@ -28,11 +28,11 @@
     turn_ledger::peer_layouts_options m_layouts;
     /// limit of the queued requests of all peers; requests beyond it are dropped, and their callers retry
     /// with other peers. A single turn may have several MB, the smallest process has 60 MB.
-    std::size_t m_most_waiting_bytes = std::size_t{8} << 20U;
+    std::size_t m_max_pending_bytes = std::size_t{8} << 20U;
     /// a request queued for longer is dropped: its caller has tried another peer by then
-    std::chrono::milliseconds m_longest_wait{400};
+    std::chrono::milliseconds m_max_pending_age{400};
     /// minimum time between two log lines about unreadable frames
-    std::chrono::milliseconds m_line_pause{1000};
+    std::chrono::milliseconds m_min_log_interval{1000};
 };
 
 struct peer_link_stats
@@ -40,7 +40,7 @@
     std::uint64_t m_unreadable = 0;
     /// requests dropped before the peer's layout was known
     std::uint64_t m_dropped = 0;
-    std::uint64_t m_greetings = 0;
+    std::uint64_t m_greetings_sent = 0;
 };
 
 /// @brief not thread-safe: for the event loop's thread only
@@ -58,13 +58,13 @@
               const peer_link_options& options = {});
 
     /// @brief sends a request, or queues it until the peer's layout is known
-    void ask(const wire::Endpoint& to, turn_ledger::Body request);
+    void send_request(const wire::Endpoint& to, turn_ledger::Body request);
 
     /// @brief sends a reply in the layout of the request
-    void answer(const wire::Endpoint& to, turn_ledger::Body body, wire::Layout layout);
+    void send_reply(const wire::Endpoint& to, turn_ledger::Body body, wire::Layout layout);
 
     /// @brief sends a message whose bytes are the same in all layouts
-    void tell(const wire::Endpoint& to, turn_ledger::Body body);
+    void send_message(const wire::Endpoint& to, turn_ledger::Body body);
 
     /// @return the message in the payload; nothing for greetings and unreadable frames
     std::optional<turn_ledger::read_message> read(const std::string& payload);
@@ -80,26 +80,27 @@
     }
 
   private:
-    struct waiting_request
+    struct pending_request
     {
-        instant m_since;
+        instant m_queued_at;
         std::size_t m_bytes = 0;
         turn_ledger::Body m_body;
     };
 
-    void hold(instant now, const wire::Endpoint& to, turn_ledger::Body request);
+    void enqueue(instant now, const wire::Endpoint& to, turn_ledger::Body request);
     /// @return the peer's queued requests without the expired ones, which are dropped
-    std::vector<waiting_request> take_waiting(instant now, const wire::Endpoint& peer);
+    std::vector<pending_request> take_pending(instant now, const wire::Endpoint& peer);
 
     void send(const wire::Endpoint& to, turn_ledger::Body body, wire::Layout layout);
-    void send_request(const wire::Endpoint& to, turn_ledger::Body request, wire::Layout layout);
-    void greet(const wire::Endpoint& to, bool wants_answer);
-    void probe(const wire::Endpoint& to);
+    void send_request_in_layout(const wire::Endpoint& to, turn_ledger::Body request, wire::Layout layout);
+    void send_greeting(const wire::Endpoint& to, bool wants_answer);
+    void send_probes(const wire::Endpoint& to);
     void on_greeting(const wire::Greeting& greeting, std::uint16_t newest);
-    void note_heard(const wire::Endpoint& from, const std::string& name, std::optional<wire::Layout> reads);
-    void send_waiting(const wire::Endpoint& to, wire::Layout layout);
+    void on_frame_received(const wire::Endpoint& from, const std::string& name,
+                           std::optional<wire::Layout> reads);
+    void send_pending(const wire::Endpoint& to, wire::Layout layout);
     void on_closed(const wire::Endpoint& peer);
-    void tell_unreadable(const turn_ledger::unreadable_frame& told, std::size_t bytes);
+    void log_unreadable(const turn_ledger::unreadable_frame& details, std::size_t bytes);
 
     wire::Transport& m_transport;
     std::function<turn_ledger::Machine()> m_self;
@@ -107,10 +108,10 @@
     unsupported_handler m_on_unsupported;
     peer_link_options m_options;
     turn_ledger::peer_layouts m_layouts;
-    std::map<wire::Endpoint, std::vector<waiting_request>> m_waiting;
-    std::size_t m_waiting_bytes = 0;
+    std::map<wire::Endpoint, std::vector<pending_request>> m_pending;
+    std::size_t m_pending_bytes = 0;
     peer_link_stats m_stats;
-    std::optional<instant> m_last_line;
+    std::optional<instant> m_last_logged;
 };
 
 }  // namespace martenyard::roles
--- a/tests/roles/peers/peer_link_test.cc
+++ b/tests/roles/peers/peer_link_test.cc
@@ -27,7 +27,7 @@
 class earlier_peer
 {
   public:
-    earlier_peer(wire::EventLoop& loop, Layout layout, const wire::Endpoint& at = {"127.0.0.1", 0})
+    earlier_peer(wire::EventLoop& loop, Layout layout, const wire::Endpoint& address = {"127.0.0.1", 0})
         : m_layout(layout),
           m_transport(
               loop,
@@ -37,7 +37,7 @@
               },
               [](const std::string&) {}, [](const wire::Endpoint&, absl::Time) {})
     {
-        m_endpoint = *m_transport.Listen(at);
+        m_endpoint = *m_transport.Listen(address);
     }
 
     const wire::Endpoint& endpoint() const
@@ -61,8 +61,8 @@
         m_requests.push_back(request);
         turn_ledger::LedgerReply reply;
         reply.request = request.request;
-        turn_ledger::Envelope answer{{"earlier", NodeId(1), m_endpoint, ZoneName("z")}, reply};
-        m_transport.SendFrame(envelope->from.endpoint, wire::Encode(answer, m_layout));
+        turn_ledger::Envelope reply_envelope{{"earlier", NodeId(1), m_endpoint, ZoneName("z")}, reply};
+        m_transport.SendFrame(envelope->from.endpoint, wire::Encode(reply_envelope, m_layout));
     }
 
     Layout m_layout;
@@ -71,11 +71,11 @@
 };
 
 /// A process of this build; answers every request.
-class present_process
+class current_process
 {
   public:
-    explicit present_process(wire::EventLoop& loop, const wire::Endpoint& at = {"127.0.0.1", 0})
-        : m_log(m_file, "present"),
+    explicit current_process(wire::EventLoop& loop, const wire::Endpoint& address = {"127.0.0.1", 0})
+        : m_log(m_file, "current"),
           m_transport(
               loop,
               [this](const std::string& payload)
@@ -87,7 +87,7 @@
               m_transport,
               [this]
               {
-                  return turn_ledger::Machine{"present", NodeId(2), m_endpoint, ZoneName("z")};
+                  return turn_ledger::Machine{"current", NodeId(2), m_endpoint, ZoneName("z")};
               },
               m_log,
               [this](const wire::Endpoint&, std::uint64_t request)
@@ -95,9 +95,9 @@
                   m_unsupported.push_back(request);
               })
     {
-        m_endpoint = *m_transport.Listen(at);
+        m_endpoint = *m_transport.Listen(address);
     }
-    ~present_process()
+    ~current_process()
     {
         close(m_file);
     }
@@ -112,7 +112,7 @@
     }
 
     std::vector<turn_ledger::read_message> m_requests;
-    std::vector<std::uint64_t> m_answered;
+    std::vector<std::uint64_t> m_replied;
     std::vector<std::uint64_t> m_unsupported;
 
   private:
@@ -125,13 +125,13 @@
         }
         if (auto* reply = std::get_if<turn_ledger::LedgerReply>(&message->m_envelope.body))
         {
-            m_answered.push_back(reply->request);
+            m_replied.push_back(reply->request);
             return;
         }
         auto& request = std::get<LedgerRequest>(message->m_envelope.body);
         turn_ledger::LedgerReply reply;
         reply.request = request.request;
-        m_link.answer(message->m_envelope.from.endpoint, reply, message->m_layout);
+        m_link.send_reply(message->m_envelope.from.endpoint, reply, message->m_layout);
         m_requests.push_back(*message);
     }
 
@@ -159,37 +159,38 @@
     }
 
     /// Sends a request with retries, as callers do. @return whether a reply arrived.
-    bool ask(present_process& from, const wire::Endpoint& to, turn_ledger::Operation operation)
+    bool request_with_retries(current_process& from, const wire::Endpoint& to,
+                              turn_ledger::Operation operation)
     {
         LedgerRequest request = layouts::ledger_request<LedgerRequest>(std::move(operation));
-        request.request = ++m_asked;
-        absl::Time again = absl::InfinitePast();
+        request.request = ++m_last_request;
+        absl::Time next_try = absl::InfinitePast();
         return run_until(
             [&]
             {
-                if (SteadyNow() >= again)
+                if (SteadyNow() >= next_try)
                 {
-                    again = SteadyNow() + absl::Milliseconds(200);
-                    from.link().ask(to, request);
+                    next_try = SteadyNow() + absl::Milliseconds(200);
+                    from.link().send_request(to, request);
                 }
-                return std::find(from.m_answered.begin(), from.m_answered.end(), m_asked) !=
-                       from.m_answered.end();
+                return std::find(from.m_replied.begin(), from.m_replied.end(), m_last_request) !=
+                       from.m_replied.end();
             });
     }
 
     wire::EventLoop m_loop;
-    std::uint64_t m_asked = 100;
+    std::uint64_t m_last_request = 100;
 };
 
-TEST_F(PeerLink, PeersOfEarlierBuildsGetWhatTheyReadAndLittleElse)
+TEST_F(PeerLink, PeersOfEarlierBuildsGetRequestsInTheirLayout)
 {
     for (Layout layout : {Layout::kUnmarked1, Layout::kUnmarked2})
     {
         earlier_peer peer(m_loop, layout);
-        present_process gateway(m_loop);
-        for (int time = 0; time < 20; ++time)
+        current_process gateway(m_loop);
+        for (int attempt = 0; attempt < 20; ++attempt)
         {
-            ASSERT_TRUE(ask(gateway, peer.endpoint(), layouts::reservation()));
+            ASSERT_TRUE(request_with_retries(gateway, peer.endpoint(), layouts::reservation()));
         }
         EXPECT_EQ(peer.m_requests.size(), 21U) << "each request once, and one probe";
         EXPECT_EQ(peer.m_unreadable, 2) << "the greeting, and a probe in the other layout";
@@ -197,11 +198,11 @@
     }
 }
 
-TEST_F(PeerLink, ProcessesOfThisBuildSpeakInMarkedFramesFromTheFirstRequestOn)
+TEST_F(PeerLink, ProcessesOfThisBuildUseMarkedFramesFromTheFirstRequest)
 {
-    present_process ledger(m_loop);
-    present_process gateway(m_loop);
-    ASSERT_TRUE(ask(gateway, ledger.endpoint(), layouts::reservation()));
+    current_process ledger(m_loop);
+    current_process gateway(m_loop);
+    ASSERT_TRUE(request_with_retries(gateway, ledger.endpoint(), layouts::reservation()));
     const turn_ledger::read_message* first = nullptr;
     for (const turn_ledger::read_message& message : ledger.m_requests)
     {
@@ -216,45 +217,45 @@
     EXPECT_EQ(gateway.link().earlier_peers(), 0U);
 }
 
-TEST_F(PeerLink, OperationThatThePeerDoesNotKnowIsReportedAsUnsupportedAndNotSent)
+TEST_F(PeerLink, UnsupportedOperationIsReportedAndNotSent)
 {
     earlier_peer peer(m_loop, Layout::kUnmarked1);
-    present_process gateway(m_loop);
+    current_process gateway(m_loop);
     LedgerRequest request = layouts::ledger_request<LedgerRequest>(turn_ledger::TakeQuota{});
-    gateway.link().ask(peer.endpoint(), request);
+    gateway.link().send_request(peer.endpoint(), request);
     EXPECT_TRUE(run_until(
         [&]
         {
             return !gateway.m_unsupported.empty();
         }));
-    gateway.link().ask(peer.endpoint(), request);
+    gateway.link().send_request(peer.endpoint(), request);
     EXPECT_EQ(gateway.m_unsupported.size(), 2U) << "immediately, since the layout of the peer is known";
     EXPECT_EQ(peer.m_unreadable, 2);
 }
 
-TEST_F(PeerLink, PeerThatRestartsAsAnotherBuildIsLearnedAnewInEitherDirection)
+TEST_F(PeerLink, LayoutIsLearnedAgainWhenPeerRestartsAsEarlierOrLaterBuild)
 {
-    present_process gateway(m_loop);
+    current_process gateway(m_loop);
     auto earlier = std::make_unique<earlier_peer>(m_loop, Layout::kUnmarked1);
-    wire::Endpoint at = earlier->endpoint();
-    ASSERT_TRUE(ask(gateway, at, layouts::reservation()));
+    wire::Endpoint address = earlier->endpoint();
+    ASSERT_TRUE(request_with_retries(gateway, address, layouts::reservation()));
     earlier.reset();
-    auto present = std::make_unique<present_process>(m_loop, at);
-    ASSERT_TRUE(ask(gateway, at, layouts::reservation()));
-    present.reset();
-    earlier = std::make_unique<earlier_peer>(m_loop, Layout::kUnmarked2, at);
-    ASSERT_TRUE(ask(gateway, at, layouts::reservation()));
+    auto current = std::make_unique<current_process>(m_loop, address);
+    ASSERT_TRUE(request_with_retries(gateway, address, layouts::reservation()));
+    current.reset();
+    earlier = std::make_unique<earlier_peer>(m_loop, Layout::kUnmarked2, address);
+    ASSERT_TRUE(request_with_retries(gateway, address, layouts::reservation()));
     EXPECT_EQ(gateway.link().earlier_peers(), 1U);
 }
 
-TEST_F(PeerLink, PeerThatIsNeverThereKeepsNothingWaiting)
+TEST_F(PeerLink, RequestsToUnreachablePeerAreDropped)
 {
-    present_process gateway(m_loop);
-    wire::Endpoint nobody{"127.0.0.1", 1};
+    current_process gateway(m_loop);
+    wire::Endpoint unreachable{"127.0.0.1", 1};
     LedgerRequest request = layouts::ledger_request<LedgerRequest>(layouts::settlement());
-    for (int time = 0; time < 50; ++time)
+    for (int attempt = 0; attempt < 50; ++attempt)
     {
-        gateway.link().ask(nobody, request);
+        gateway.link().send_request(unreachable, request);
         m_loop.RunRound(absl::Milliseconds(1));
     }
     EXPECT_TRUE(run_until(
