--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -384,7 +384,7 @@
 {
     m_digest_taken = now;
     discovery::RunnerTable& runners = m_state.runners;
-    bool counts = m_settings.policy.on(mechanism::peer_loads);
+    bool counts = m_settings.policy.enabled(mechanism::peer_loads);
     clear_peer_loads();
     for (const runner_load& load : others)
     {
@@ -474,7 +474,7 @@
     seen.m_speaks = speaks_for_zone(now);
     seen.m_zone_has_contact = m_view->own_zone_has_contact(now);
     seen.m_hears_contact = m_view->hears_contact(now);
-    bool watch = m_watch.judge(seen) || !m_settings.policy.on(mechanism::peer_news);
+    bool watch = m_watch.judge(seen) || !m_settings.policy.enabled(mechanism::peer_news);
     if (watch != m_watching)
     {
         m_watching = watch;
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -10,7 +10,7 @@
 #include "absl/strings/strip.h"
 #include "base/clock.h"
 #include "forwarding/forwarder.h"
-#include "roles/policy/knobs.h"
+#include "roles/policy/policy_parameters.h"
 #include "roles/store_reachability_line.h"
 #include "roles/store_watch_options.h"
 #include "turn_ledger/groups/group_layout.h"
@@ -64,7 +64,7 @@
   forwarding::ChoiceOptions& choice = options.choice;
   auto zero_if_disabled = [&policy](mechanism which, std::initializer_list<double*> costs) {
     for (double* cost : costs) {
-      *cost = policy.on(which) ? *cost : 0;
+      *cost = policy.enabled(which) ? *cost : 0;
     }
   };
   zero_if_disabled(mechanism::zone_cost, {&choice.other_zone_ms});
@@ -73,32 +73,32 @@
   zero_if_disabled(mechanism::active_cost, {&choice.active_cost_ms, &choice.plain_active_cost_ms});
   zero_if_disabled(mechanism::loss_rates,
                    {&choice.repeatable_loss_ms, &choice.turn_loss_ms, &choice.call_loss_ms});
-  if (!policy.on(mechanism::kept_prompts)) {
+  if (!policy.enabled(mechanism::kept_prompts)) {
     choice.tokens_per_ms = std::numeric_limits<double>::infinity();
   }
-  if (!policy.on(mechanism::silence_limit)) {
+  if (!policy.enabled(mechanism::silence_limit)) {
     options.least_silence = absl::InfiniteDuration();
   }
-  if (!policy.on(mechanism::chain_cache)) {
+  if (!policy.enabled(mechanism::chain_cache)) {
     state.turns = forwarding::TurnCache(0);
   }
-  if (!policy.on(mechanism::avoidance)) {
+  if (!policy.enabled(mechanism::avoidance)) {
     discovery::HealthOptions health;
     health.failures_to_avoid = std::numeric_limits<int>::max() / 2;
     state.runners = discovery::RunnerTable(health);
   }
-  if (!policy.on(mechanism::program_admission)) {
+  if (!policy.enabled(mechanism::program_admission)) {
     options.admission.m_most_load = std::numeric_limits<double>::infinity();
   }
-  options.uses_turn_places = policy.on(mechanism::turn_places);
-  options.reads_replicas = policy.on(mechanism::replica_chains);
+  options.uses_turn_places = policy.enabled(mechanism::turn_places);
+  options.reads_replicas = policy.enabled(mechanism::replica_chains);
 }
 
 /// Errors are only logged: the settings were validated when they were read.
-void ApplyKnobs(const std::string& knobs, forwarding::GatewayState& state) {
+void ApplyPolicyParameters(const std::string& parameters, forwarding::GatewayState& state) {
   std::string fault = Recover<policy_error>(
       [&]() -> Result<std::string> {
-        BOOST_LEAF_CHECK(set_knobs(knobs, state.options));
+        BOOST_LEAF_CHECK(set_policy_parameters(parameters, state.options));
         return std::string();
       },
       [](const policy_error& error) { return error.m_detail; });
@@ -109,7 +109,7 @@
 
 turn_ledger::LedgerClientOptions LedgerOptions(const policy_switches& policy) {
   turn_ledger::LedgerClientOptions options;
-  if (!policy.on(mechanism::silence_refusal)) {
+  if (!policy.enabled(mechanism::silence_refusal)) {
     options.most_waiting = std::numeric_limits<std::size_t>::max();
   }
   return options;
@@ -187,7 +187,7 @@
       ticker_(loop, kTickInterval, log, [this](absl::Time now) { Tick(now); }) {
   state_->options.gone_usable = MaxDrainingRunnerUse(settings.runner_drain_period);
   DisableMechanisms(settings.policy, *state_);
-  ApplyKnobs(settings.policy_parameters, *state_);
+  ApplyPolicyParameters(settings.policy_parameters, *state_);
   state_->ledger = std::make_unique<turn_ledger::LedgerClient>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::LedgerRequest& request) {
@@ -432,11 +432,11 @@
   view.m_silent_groups = state_->ledger->SilentGroups(absl::FromChrono(knobs.m_silent_after));
   view.m_peers = exchange_.peers();
   view.m_peers_without_ledger = exchange_.peers_without_ledger();
-  bool reaches = ledger_readiness_.judge(view) || !settings_.policy.on(mechanism::readiness);
+  bool reaches = ledger_readiness_.judge(view) || !settings_.policy.enabled(mechanism::readiness);
   std::vector<wire::Endpoint> relays;
   // Relays are used only if the ledger is lost by this gateway alone: while it recovers for all
   // gateways, they would double its load.
-  if (ledger_readiness_.lost_alone() && settings_.policy.on(mechanism::relays)) {
+  if (ledger_readiness_.lost_alone() && settings_.policy.enabled(mechanism::relays)) {
     relays = exchange_.peers_with_ledger(kMaxRelays);
   }
   state_->relaying = !relays.empty();
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -80,8 +80,8 @@
       std::max(options.planner.live_within, kHelloIntervalPerMachine * kLivenessHelloIntervals *
                                                 static_cast<double>(known_machines));
   options.preferred_leaders =
-      group != turn_ledger::group_at(0) && settings.policy.on(mechanism::hand_back);
-  if (!settings.policy.on(mechanism::overload_refusal)) {
+      group != turn_ledger::group_at(0) && settings.policy.enabled(mechanism::hand_back);
+  if (!settings.policy.enabled(mechanism::overload_refusal)) {
     options.overload_after = absl::InfiniteDuration();
   }
   return options;
--- a/src/roles/policy/knobs.cc
+++ b/src/roles/policy/policy_parameters.cc
@@ -1,4 +1,4 @@
-#include "roles/policy/knobs.h"
+#include "roles/policy/policy_parameters.h"
 
 #include <functional>
 #include <map>
@@ -13,9 +13,9 @@
 namespace martenyard::roles
 {
 
-Result<void> set_knobs(absl::string_view text, forwarding::ForwardingOptions& options)
+Result<void> set_policy_parameters(absl::string_view text, forwarding::ForwardingOptions& options)
 {
-    const std::map<absl::string_view, double*> knobs = {
+    const std::map<absl::string_view, double*> parameters = {
         {"most_load", &options.admission.m_most_load},
         {"pause_share", &options.admission.m_pause_share},
         {"tokens_per_ms", &options.choice.tokens_per_ms},
@@ -28,12 +28,12 @@
     for (absl::string_view pair : absl::StrSplit(text, ',', absl::SkipEmpty()))
     {
         std::pair<absl::string_view, absl::string_view> parts = absl::StrSplit(pair, absl::MaxSplits('=', 1));
-        auto knob = knobs.find(parts.first);
+        auto parameter = parameters.find(parts.first);
         double value = 0;
-        if (knob == knobs.end())
+        if (parameter == parameters.end())
         {
             std::vector<absl::string_view> names;
-            for (const auto& [name, target] : knobs)
+            for (const auto& [name, target] : parameters)
             {
                 names.push_back(name);
             }
@@ -45,7 +45,7 @@
             return leaf::new_error(policy_error{
                 absl::StrCat(parts.first, " must be a non-negative number, got '", parts.second, "'")});
         }
-        *knob->second = value;
+        *parameter->second = value;
     }
     return {};
 }
--- a/src/roles/policy/knobs.h
+++ b/src/roles/policy/policy_parameters.h
@@ -14,6 +14,6 @@
 /// @brief sets the parameters in the options
 /// @param[in] text  comma-separated pairs, such as "most_load=0.8,home_ms=12"; may be empty
 /// Errors: policy_error names the unknown parameter or the invalid value.
-Result<void> set_knobs(absl::string_view text, forwarding::ForwardingOptions& options);
+Result<void> set_policy_parameters(absl::string_view text, forwarding::ForwardingOptions& options);
 
 }  // namespace martenyard::roles
--- a/src/roles/policy/policy_switches.cc
+++ b/src/roles/policy/policy_switches.cc
@@ -20,7 +20,7 @@
     absl::string_view m_name;
 };
 
-constexpr std::array all_mechanisms = {
+constexpr std::array named_mechanisms = {
     named_mechanism{mechanism::zone_cost, "zone_cost"},
     named_mechanism{mechanism::home, "home"},
     named_mechanism{mechanism::kept_prompts, "kept_prompts"},
@@ -49,20 +49,20 @@
 
 }  // namespace
 
-Result<policy_switches> policy_switches::parse(absl::string_view off)
+Result<policy_switches> policy_switches::parse(absl::string_view disabled)
 {
     policy_switches switches;
-    for (absl::string_view name : absl::StrSplit(off, ',', absl::SkipEmpty()))
+    for (absl::string_view name : absl::StrSplit(disabled, ',', absl::SkipEmpty()))
     {
-        auto found = std::find_if(all_mechanisms.begin(), all_mechanisms.end(),
+        auto found = std::find_if(named_mechanisms.begin(), named_mechanisms.end(),
                                   [name](const named_mechanism& known)
                                   {
                                       return known.m_name == name;
                                   });
-        if (found == all_mechanisms.end())
+        if (found == named_mechanisms.end())
         {
             std::vector<absl::string_view> names;
-            std::transform(all_mechanisms.begin(), all_mechanisms.end(), std::back_inserter(names),
+            std::transform(named_mechanisms.begin(), named_mechanisms.end(), std::back_inserter(names),
                            [](const named_mechanism& known)
                            {
                                return known.m_name;
@@ -70,22 +70,22 @@
             return leaf::new_error(policy_error{
                 absl::StrCat("unknown mechanism '", name, "', must be one of ", join_names(names))});
         }
-        switches.m_off.insert(found->m_mechanism);
+        switches.m_disabled.insert(found->m_mechanism);
     }
     return switches;
 }
 
-bool policy_switches::on(mechanism which) const
+bool policy_switches::enabled(mechanism which) const
 {
-    return !m_off.contains(which);
+    return !m_disabled.contains(which);
 }
 
-std::string policy_switches::off_names() const
+std::string policy_switches::disabled_names() const
 {
     std::vector<absl::string_view> names;
-    for (const named_mechanism& known : all_mechanisms)
+    for (const named_mechanism& known : named_mechanisms)
     {
-        if (!on(known.m_mechanism))
+        if (!enabled(known.m_mechanism))
         {
             names.push_back(known.m_name);
         }
--- a/src/roles/policy/policy_switches.h
+++ b/src/roles/policy/policy_switches.h
@@ -67,17 +67,17 @@
     /// all mechanisms enabled
     policy_switches() = default;
 
-    /// @param[in] off  comma-separated names of mechanisms to disable; may be empty
+    /// @param[in] disabled  comma-separated names of mechanisms to disable; may be empty
     /// Errors: policy_error names the unknown mechanism and lists the valid names.
-    static Result<policy_switches> parse(absl::string_view off);
+    static Result<policy_switches> parse(absl::string_view disabled);
 
-    bool on(mechanism which) const;
+    bool enabled(mechanism which) const;
 
     /// @return the comma-separated names of the disabled mechanisms
-    std::string off_names() const;
+    std::string disabled_names() const;
 
   private:
-    std::set<mechanism> m_off;
+    std::set<mechanism> m_disabled;
 };
 
 }  // namespace martenyard::roles
--- a/src/roles/role_settings.h
+++ b/src/roles/role_settings.h
@@ -43,7 +43,7 @@
   absl::Duration store_history = absl::Seconds(20);
   tenancy::revocation_bound revocation;  ///< How soon a revoked API key is rejected.
   tenancy::quota_bounds quota;           ///< Accuracy of the tenants' limits.
-  /// Comma-separated name=value pairs; see policy/knobs.h.
+  /// Comma-separated name=value pairs; see policy/policy_parameters.h.
   std::string policy_parameters;
   policy_switches policy;  ///< For experiments; all mechanisms are enabled by default.
 };
--- a/tests/roles/policy_switches_test.cc
+++ b/tests/roles/policy_switches_test.cc
@@ -13,16 +13,16 @@
   return parsed ? *parsed : policy_switches();
 }
 
-TEST(PolicySwitchesTest, AllAreAtWorkUnlessNamed) {
-  EXPECT_TRUE(Parsed("").on(mechanism::relays));
+TEST(PolicySwitchesTest, AllMechanismsAreEnabledUnlessListed) {
+  EXPECT_TRUE(Parsed("").enabled(mechanism::relays));
   policy_switches some = Parsed("home,relays");
-  EXPECT_FALSE(some.on(mechanism::relays));
-  EXPECT_FALSE(some.on(mechanism::home));
-  EXPECT_TRUE(some.on(mechanism::zone_cost));
-  EXPECT_EQ(some.off_names(), "home,relays");
+  EXPECT_FALSE(some.enabled(mechanism::relays));
+  EXPECT_FALSE(some.enabled(mechanism::home));
+  EXPECT_TRUE(some.enabled(mechanism::zone_cost));
+  EXPECT_EQ(some.disabled_names(), "home,relays");
 }
 
-TEST(PolicySwitchesTest, UnknownNameIsRefusedAndTheKnownOnesAreListed) {
+TEST(PolicySwitchesTest, UnknownNameIsRejectedAndValidNamesAreListed) {
   std::string detail = Recover<policy_error>(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(policy_switches::parse("home,hame"));
