--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -421,22 +421,24 @@
 
 // ---- Periodic work ----
 
-void GatewayRole::JudgeReadiness() {
-  const readiness_options knobs;
+void GatewayRole::UpdateReadiness() {
+  const readiness_options options;
   if (!stopping_) {  // A stop waits for pending calls; a probe would prolong it.
     state_->ledger->ProbeQuietGroups(kProbeAfter);
   }
-  readiness_view view;
-  view.m_now = std::chrono::steady_clock::now();
-  view.m_groups = state_->ledger->probed_groups();
-  view.m_silent_groups = state_->ledger->SilentGroups(absl::FromChrono(knobs.m_silent_after));
-  view.m_peers = exchange_.peers();
-  view.m_peers_without_ledger = exchange_.peers_without_ledger();
-  bool reaches = ledger_readiness_.judge(view) || !settings_.policy.enabled(mechanism::readiness);
+  ledger_observation observation;
+  observation.m_now = std::chrono::steady_clock::now();
+  observation.m_groups = state_->ledger->probed_groups();
+  observation.m_unresponsive_groups =
+      state_->ledger->SilentGroups(absl::FromChrono(options.m_unresponsive_after));
+  observation.m_peers = exchange_.peers();
+  observation.m_peers_without_ledger = exchange_.peers_without_ledger();
+  bool reaches =
+      readiness_monitor_.update(observation) || !settings_.policy.enabled(mechanism::readiness);
   std::vector<wire::Endpoint> relays;
   // Relays are used only if the ledger is lost by this gateway alone: while it recovers for all
   // gateways, they would double its load.
-  if (ledger_readiness_.lost_alone() && settings_.policy.enabled(mechanism::relays)) {
+  if (readiness_monitor_.isolated_from_ledger() && settings_.policy.enabled(mechanism::relays)) {
     relays = exchange_.peers_with_ledger(kMaxRelays);
   }
   state_->relaying = !relays.empty();
@@ -449,15 +451,16 @@
   log_.Write(
       Line("readiness_changed")
           .Flag("ready", ready())
-          .Number("groups", static_cast<std::int64_t>(view.m_groups))
-          .Number("silent_groups", static_cast<std::int64_t>(view.m_silent_groups))
-          .Number("peers", static_cast<std::int64_t>(view.m_peers))
-          .Number("peers_without_ledger", static_cast<std::int64_t>(view.m_peers_without_ledger)));
+          .Number("groups", static_cast<std::int64_t>(observation.m_groups))
+          .Number("silent_groups", static_cast<std::int64_t>(observation.m_unresponsive_groups))
+          .Number("peers", static_cast<std::int64_t>(observation.m_peers))
+          .Number("peers_without_ledger",
+                  static_cast<std::int64_t>(observation.m_peers_without_ledger)));
 }
 
 void GatewayRole::Tick(absl::Time now) {
-  exchange_.tick(ledger_readiness_.ledger_silent());
-  JudgeReadiness();
+  exchange_.tick(readiness_monitor_.ledger_unreachable());
+  UpdateReadiness();
   if (now >= next_housekeeping_) {
     next_housekeeping_ = now + kHousekeepingInterval;
     state_->runners.Prune(now, kGoneRunnerRetention);
--- a/src/roles/gateway_role.h
+++ b/src/roles/gateway_role.h
@@ -13,7 +13,7 @@
 #include "roles/ledger/group_layout_record.h"
 #include "roles/peers/peer_link.h"
 #include "roles/platform_formats.h"
-#include "roles/readiness/readiness.h"
+#include "roles/readiness/readiness_monitor.h"
 #include "roles/role_settings.h"
 #include "roles/ticker.h"
 #include "store/metadata_store.h"
@@ -66,7 +66,7 @@
   void Tick(absl::Time now);
   /// Probes the ledger groups. Reports not ready while this gateway, but not most of its peers, has
   /// lost the ledger.
-  void JudgeReadiness();
+  void UpdateReadiness();
   /// Executes a ledger call on behalf of a peer gateway.
   async_http::Task<void> RelayToLedger(wire::Endpoint peer, turn_ledger::LedgerRequest request,
                                        wire::Layout layout);
@@ -94,7 +94,7 @@
   zone_exchange exchange_;
   Ticker ticker_;
 
-  readiness ledger_readiness_;
+  readiness_monitor readiness_monitor_;
   bool reaches_ledger_ = true;  ///< The reported state: debounced, and true in a shared outage.
   bool layout_update_pending_ = false;
   absl::Time next_housekeeping_;
--- a/src/roles/readiness/readiness.h
+++ b/src/roles/readiness/readiness_monitor.h
@@ -16,7 +16,7 @@
 struct readiness_options
 {
     /// a ledger group without a reply for this long counts as unresponsive
-    std::chrono::milliseconds m_silent_after{450};
+    std::chrono::milliseconds m_unresponsive_after{450};
     /// after most groups have not replied for this long, the gateway is not ready
     std::chrono::milliseconds m_lost_after{800};
     /// after the ledger has answered again for this long, the gateway is ready again
@@ -24,15 +24,15 @@
 };
 
 /// @brief observed state of the ledger and the peers
-struct readiness_view
+struct ledger_observation
 {
     using instant = std::chrono::steady_clock::time_point;
 
     instant m_now;
     /// ledger groups that are probed
     std::size_t m_groups = 0;
-    /// those of them that have not replied for @ref readiness_options::m_silent_after
-    std::size_t m_silent_groups = 0;
+    /// those of them that have not replied for @ref readiness_options::m_unresponsive_after
+    std::size_t m_unresponsive_groups = 0;
     /// other known gateways
     std::size_t m_peers = 0;
     /// those of them that recently reported that they have lost the ledger
@@ -40,26 +40,26 @@
 };
 
 /// @brief derives the readiness from successive observations
-class readiness
+class readiness_monitor
 {
   public:
-    explicit readiness(const readiness_options& options = {});
+    explicit readiness_monitor(const readiness_options& options = {});
 
     /// @return whether the gateway is ready
-    bool judge(const readiness_view& view);
+    bool update(const ledger_observation& observation);
 
     /// @return whether most ledger groups are unresponsive to this gateway; reported to its peers
-    bool ledger_silent() const;
+    bool ledger_unreachable() const;
 
     /// @return whether this gateway, but not most of its peers, has lost the ledger
-    bool lost_alone() const;
+    bool isolated_from_ledger() const;
 
   private:
     readiness_options m_options;
     bool m_ready = true;
-    bool m_silent = false;
-    /// time of the last change of @ref m_silent
-    std::optional<readiness_view::instant> m_since;
+    bool m_unreachable = false;
+    /// time of the last change of @ref m_unreachable
+    std::optional<ledger_observation::instant> m_changed_at;
 };
 
 }  // namespace martenyard::roles
