--- a/src/roles/ledger/machine_retirement.cc
+++ b/src/roles/ledger/machine_retirement.cc
@@ -33,15 +33,15 @@
                                        const PlatformFormats& formats, store::MetadataStore& store,
                                        const store::PrefixMirror& directory,
                                        group_layout_record& layout_record, event_log::EventLog& log,
-                                       find_replica find, on_retiring on_retiring_machines)
+                                       find_replica find, retiring_handler on_retiring)
     : m_context(context),
       m_formats(formats),
       m_store(store),
       m_directory(directory),
       m_layout_record(layout_record),
       m_log(log),
-      m_find(std::move(find)),
-      m_on_retiring(std::move(on_retiring_machines)),
+      m_find_replica(std::move(find)),
+      m_on_retiring(std::move(on_retiring)),
       m_requests(
           context, store, formats.RetirePrefix(),
           [this](const store::StoreChange&)
@@ -62,7 +62,7 @@
     async_http::asio::co_spawn(m_context, run(), async_http::asio::detached);
 }
 
-std::vector<std::string> machine_retirement::retiring() const
+std::vector<std::string> machine_retirement::retiring_machines() const
 {
     std::vector<std::string> names;
     for (const auto& [key, item] : m_requests.items())
@@ -76,7 +76,7 @@
 
 void machine_retirement::on_requests_change()
 {
-    std::vector<std::string> names = retiring();
+    std::vector<std::string> names = retiring_machines();
     m_log.Write(Line("retire_asked").Number("machines", static_cast<std::int64_t>(names.size())));
     m_on_retiring(names);
 }
@@ -110,7 +110,7 @@
     for (std::size_t index = 0; layout != nullptr && index < layout->size(); ++index)
     {
         GroupId group = turn_ledger::group_at(index);
-        const turn_ledger::TurnReplica* replica = m_find(group);
+        const turn_ledger::TurnReplica* replica = m_find_replica(group);
         bool leads = replica != nullptr && replica->LeadsCurrent();
         bool released =
             leads ? replica->MayTakeAway(machine) : m_directory.items().contains(record_key(machine, group));
@@ -145,9 +145,9 @@
     machines.insert(machines.end(), recorded.begin(), recorded.end());
     for (const std::string& name : machines)
     {
-        std::vector<std::string> requested = retiring();
+        std::vector<std::string> requested = retiring_machines();
         bool is_requested = std::find(requested.begin(), requested.end(), name) != requested.end();
-        const turn_ledger::TurnReplica* replica = m_find(group);
+        const turn_ledger::TurnReplica* replica = m_find_replica(group);
         if (replica != nullptr && replica->LeadsCurrent())
         {
             bool released = is_requested && replica->MayTakeAway(name);
@@ -163,14 +163,14 @@
     while (true)
     {
         co_await async_http::Sleep(m_context, absl::FromChrono(check_interval));
-        std::vector<std::string> names = retiring();
+        std::vector<std::string> names = retiring_machines();
         const turn_ledger::group_layout* layout = m_layout_record.layout();
         std::size_t groups = layout == nullptr ? 0 : layout->size();
         for (std::size_t index = 1; index < groups; ++index)
         {
             co_await update_group_records(turn_ledger::group_at(index), names);
         }
-        const turn_ledger::TurnReplica* first = m_find(first_group);
+        const turn_ledger::TurnReplica* first = m_find_replica(first_group);
         if (first != nullptr && first->LeadsCurrent())
         {
             co_await report_statuses(reported);
@@ -184,7 +184,7 @@
 
 Task<void> machine_retirement::report_statuses(std::map<std::string, std::string>& reported)
 {
-    for (const std::string& name : retiring())
+    for (const std::string& name : retiring_machines())
     {
         std::string status = m_formats.WriteRetireStatus(released_by_all_groups(name));
         if (reported[name] == status)
--- a/src/roles/ledger/machine_retirement.h
+++ b/src/roles/ledger/machine_retirement.h
@@ -29,19 +29,19 @@
     /// @return this machine's replica of a group, or null
     using find_replica = std::function<turn_ledger::TurnReplica*(GroupId group)>;
     /// called with the machines that the operator wants retired
-    using on_retiring = std::function<void(const std::vector<std::string>& machines)>;
+    using retiring_handler = std::function<void(const std::vector<std::string>& machines)>;
 
     /// All references must outlive this object.
     machine_retirement(async_http::asio::io_context& context, const RoleSettings& settings,
                        const PlatformFormats& formats, store::MetadataStore& store,
                        const store::PrefixMirror& directory, group_layout_record& layout_record,
-                       event_log::EventLog& log, find_replica find, on_retiring on_retiring_machines);
+                       event_log::EventLog& log, find_replica find, retiring_handler on_retiring);
 
     /// @brief starts to watch the operator's requests
     void start();
 
     /// @return the machines that the operator wants retired
-    std::vector<std::string> retiring() const;
+    std::vector<std::string> retiring_machines() const;
 
   private:
     void on_requests_change();
@@ -60,8 +60,8 @@
     const store::PrefixMirror& m_directory;
     group_layout_record& m_layout_record;
     event_log::EventLog& m_log;
-    find_replica m_find;
-    on_retiring m_on_retiring;
+    find_replica m_find_replica;
+    retiring_handler m_on_retiring;
     store::PrefixMirror m_requests;
 };
 
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -122,7 +122,7 @@
       retirement_(
           loop.context(), settings, formats, store, directory_, layout_record_, log,
           [this](GroupId group) { return Find(group); },
-          [this](const std::vector<std::string>& machines) { OnRetiring(machines); }),
+          [this](const std::vector<std::string>& machines) { OnRetiringMachines(machines); }),
       persisted_mirrors_(
           loop.context(), settings_, formats, store, transport_, directory_,
           [this] { return Self(); }, log),
@@ -235,7 +235,7 @@
   for (const auto& [name, machine] : peers_.machines()) {
     replica->OnMachine(SteadyNow(), machine, /*spoke=*/false);
   }
-  replica->SetRetiring(retirement_.retiring());
+  replica->SetRetiring(retirement_.retiring_machines());
   replicas_[group] = std::move(replica);
   return *replicas_[group];
 }
@@ -515,8 +515,8 @@
                         [&] { OnChainRequest(envelope.from.endpoint, *chain); });
   } else if (const auto* hello = std::get_if<turn_ledger::Hello>(&envelope.body)) {
     OnHello(*hello);
-  } else if (const auto* news = std::get_if<store::news_reply>(&envelope.body)) {
-    persisted_mirrors_.on_changes(*news);
+  } else if (const auto* changes = std::get_if<store::news_reply>(&envelope.body)) {
+    persisted_mirrors_.on_changes(*changes);
   }
 }
 
@@ -700,7 +700,7 @@
   }
 }
 
-void LedgerRole::OnRetiring(const std::vector<std::string>& machines) {
+void LedgerRole::OnRetiringMachines(const std::vector<std::string>& machines) {
   for (auto& [group, replica] : replicas_) {
     replica->SetRetiring(machines);
   }
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -93,7 +93,7 @@
 
   void OnDirectoryChange(const store::StoreChange& change);
   /// Receives the machines that the operator wants retired.
-  void OnRetiring(const std::vector<std::string>& machines);
+  void OnRetiringMachines(const std::vector<std::string>& machines);
   async_http::Task<void> Register();
   async_http::Task<void> BootstrapGroups();
   void StartRecordedGroups();
--- a/tests/roles/readiness_monitor_test.cc
+++ b/tests/roles/readiness_monitor_test.cc
@@ -11,11 +11,11 @@
 
 class ReadinessMonitorTest : public ::testing::Test {
  protected:
-  /// Repeats the same observation every 100 ms for `time`. @return the last decision.
-  bool Observe(milliseconds time, std::size_t unresponsive_groups,
+  /// Repeats the same observation every 100 ms for `duration`. @return the last decision.
+  bool Observe(milliseconds duration, std::size_t unresponsive_groups,
                std::size_t peers_without_ledger) {
     bool ready = true;
-    for (auto end = observation_.m_now + time; observation_.m_now < end;
+    for (auto end = observation_.m_now + duration; observation_.m_now < end;
          observation_.m_now += milliseconds(100)) {
       observation_.m_unresponsive_groups = unresponsive_groups;
       observation_.m_peers_without_ledger = peers_without_ledger;
