--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -10,9 +10,9 @@
 #include "absl/strings/strip.h"
 #include "base/clock.h"
 #include "forwarding/forwarder.h"
-#include "roles/contact_line.h"
-#include "roles/policy/knobs.h"
-#include "roles/store_watches.h"
+#include "roles/policy/policy_parameters.h"
+#include "roles/store_reachability_line.h"
+#include "roles/store_watch_options.h"
 #include "turn_ledger/groups/group_layout.h"
 #include "wire/codec.h"
 
@@ -24,31 +24,33 @@
 
 namespace {
 
-constexpr absl::Duration kTick = absl::Milliseconds(100);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(100);
 constexpr absl::Duration kHousekeepingInterval = absl::Seconds(1);
-constexpr absl::Duration kKeepGoneRunners = absl::Seconds(10);
-/// A group of the ledger that answered nothing for this long is asked whether it is there.
+constexpr absl::Duration kGoneRunnerRetention = absl::Seconds(10);
+/// A ledger group without a reply for this long is probed.
 constexpr absl::Duration kProbeAfter = absl::Milliseconds(250);
-constexpr std::size_t kMostRelays = 4;
-/// A stopping gateway still gets new connections until its readiness was asked for twice.
-constexpr absl::Duration kLeastDrain = absl::Seconds(3);
-/// Kept free between the process's own end and the platform's SIGKILL.
+constexpr std::size_t kMaxRelays = 4;
+/// Load balancers keep sending new connections until two readiness checks have failed.
+constexpr absl::Duration kMinDrain = absl::Seconds(3);
+/// Margin between the end of the process and the platform's SIGKILL.
 constexpr absl::Duration kStopMargin = absl::Milliseconds(700);
-constexpr std::uint64_t kMemoryShareForBodies = 4;
-/// Of the memory, for frames to peers that don't take them.
-constexpr std::uint64_t kMemoryShareForFrames = 16;
-constexpr std::size_t kDescriptorsKept = 1200;  // For runners, peers, files and the store.
-
-/// At most, between the store's taking a notice and the arrival of a request that was sent on the
-/// knowledge before it: the watch's spacing, a peer's news and the way to the runner.
-constexpr absl::Duration kNoticeLag = absl::Milliseconds(800);
-
-/// The slots change together when a fleet starts.
-constexpr absl::Duration kSlotsWatchSpacing = absl::Milliseconds(500);
-
-store::MirrorOptions WatchSlowly(const RoleSettings& settings) {
-  store::MirrorOptions options = LongWatch(settings);
-  options.watch_spacing = kSlotsWatchSpacing;
+/// Limits buffered request bodies to 1/4 of the memory limit.
+constexpr std::uint64_t kBodyMemoryDivisor = 4;
+/// Limits unsent frames to peers to 1/16 of the memory limit.
+constexpr std::uint64_t kFrameMemoryDivisor = 16;
+constexpr std::size_t kReservedDescriptors = 1200;  // For runners, peers, files and the store.
+
+/// Upper bound on the time between the store's acceptance of a drain notice and the arrival at the
+/// runner of a request sent before the gateway learned of it: watch spacing, propagation between
+/// gateways, and network delay.
+constexpr absl::Duration kDrainNoticeLag = absl::Milliseconds(800);
+
+/// Batches the slot changes that occur together when a fleet starts.
+constexpr absl::Duration kAggregatorWatchSpacing = absl::Milliseconds(500);
+
+store::MirrorOptions AggregatorWatchOptions(const RoleSettings& settings) {
+  store::MirrorOptions options = LongWatchOptions(settings);
+  options.watch_spacing = kAggregatorWatchSpacing;
   return options;
 }
 
@@ -56,47 +58,47 @@
 
 namespace {
 
-/// Takes the switched-off mechanisms out of the options.
-void ApplyPolicy(const policy_switches& policy, forwarding::GatewayState& state) {
+/// Adjusts the options for the disabled mechanisms.
+void DisableMechanisms(const policy_switches& policy, forwarding::GatewayState& state) {
   forwarding::ForwardingOptions& options = state.options;
   forwarding::ChoiceOptions& choice = options.choice;
-  auto drop = [&policy](mechanism which, std::initializer_list<double*> costs) {
+  auto zero_if_disabled = [&policy](mechanism which, std::initializer_list<double*> costs) {
     for (double* cost : costs) {
-      *cost = policy.on(which) ? *cost : 0;
+      *cost = policy.enabled(which) ? *cost : 0;
     }
   };
-  drop(mechanism::zone_cost, {&choice.other_zone_ms});
-  drop(mechanism::home, {&choice.home_ms});
-  drop(mechanism::waiting_cost, {&choice.engine_wait_ms, &choice.plain_wait_ms});
-  drop(mechanism::active_cost, {&choice.active_cost_ms, &choice.plain_active_cost_ms});
-  drop(mechanism::loss_rates,
-       {&choice.repeatable_loss_ms, &choice.turn_loss_ms, &choice.call_loss_ms});
-  if (!policy.on(mechanism::kept_prompts)) {
+  zero_if_disabled(mechanism::zone_cost, {&choice.other_zone_ms});
+  zero_if_disabled(mechanism::home, {&choice.home_ms});
+  zero_if_disabled(mechanism::waiting_cost, {&choice.engine_wait_ms, &choice.plain_wait_ms});
+  zero_if_disabled(mechanism::active_cost, {&choice.active_cost_ms, &choice.plain_active_cost_ms});
+  zero_if_disabled(mechanism::loss_rates,
+                   {&choice.repeatable_loss_ms, &choice.turn_loss_ms, &choice.call_loss_ms});
+  if (!policy.enabled(mechanism::kept_prompts)) {
     choice.tokens_per_ms = std::numeric_limits<double>::infinity();
   }
-  if (!policy.on(mechanism::silence_limit)) {
+  if (!policy.enabled(mechanism::silence_limit)) {
     options.min_first_byte_timeout = absl::InfiniteDuration();
   }
-  if (!policy.on(mechanism::chain_cache)) {
+  if (!policy.enabled(mechanism::chain_cache)) {
     state.turns = forwarding::TurnCache(0);
   }
-  if (!policy.on(mechanism::avoidance)) {
+  if (!policy.enabled(mechanism::avoidance)) {
     discovery::HealthOptions health;
     health.failures_to_avoid = std::numeric_limits<int>::max() / 2;
     state.runners = discovery::RunnerTable(health);
   }
-  if (!policy.on(mechanism::program_admission)) {
+  if (!policy.enabled(mechanism::program_admission)) {
     options.admission.m_max_load = std::numeric_limits<double>::infinity();
   }
-  options.uses_turn_places = policy.on(mechanism::turn_places);
-  options.reads_replicas = policy.on(mechanism::replica_chains);
+  options.uses_turn_places = policy.enabled(mechanism::turn_places);
+  options.reads_replicas = policy.enabled(mechanism::replica_chains);
 }
 
-/// The settings were checked when they were read.
-void ApplyKnobs(const std::string& knobs, forwarding::GatewayState& state) {
+/// Errors are only logged: the settings were validated when they were read.
+void ApplyPolicyParameters(const std::string& parameters, forwarding::GatewayState& state) {
   std::string fault = Recover<policy_error>(
       [&]() -> Result<std::string> {
-        BOOST_LEAF_CHECK(set_knobs(knobs, state.options));
+        BOOST_LEAF_CHECK(set_policy_parameters(parameters, state.options));
         return std::string();
       },
       [](const policy_error& error) { return error.m_detail; });
@@ -107,7 +109,7 @@
 
 turn_ledger::LedgerClientOptions LedgerOptions(const policy_switches& policy) {
   turn_ledger::LedgerClientOptions options;
-  if (!policy.on(mechanism::silence_refusal)) {
+  if (!policy.enabled(mechanism::silence_refusal)) {
     options.max_waiting = std::numeric_limits<std::size_t>::max();
   }
   return options;
@@ -115,8 +117,8 @@
 
 }  // namespace
 
-absl::Duration LeavingRunnerUse(absl::Duration drain) {
-  return std::max(absl::ZeroDuration(), drain - kNoticeLag);
+absl::Duration MaxDrainingRunnerUse(absl::Duration drain) {
+  return std::max(absl::ZeroDuration(), drain - kDrainNoticeLag);
 }
 
 GatewayRole::GatewayRole(wire::EventLoop& loop, const RoleSettings& settings,
@@ -142,54 +144,54 @@
                 [state = state_](std::shared_ptr<async_http::Exchange> exchange) {
                   return forwarding::Forward(state, std::move(exchange));
                 }),
-      readiness_(loop.context(),
-                 [this](std::shared_ptr<async_http::Exchange> exchange) {
-                   return AnswerReadiness(std::move(exchange));
-                 }),
-      metrics_(loop.context(),
-               [this](std::shared_ptr<async_http::Exchange> exchange) {
-                 return AnswerMetrics(std::move(exchange));
-               }),
+      readiness_server_(loop.context(),
+                        [this](std::shared_ptr<async_http::Exchange> exchange) {
+                          return ServeReadiness(std::move(exchange));
+                        }),
+      metrics_server_(loop.context(),
+                      [this](std::shared_ptr<async_http::Exchange> exchange) {
+                        return ServeMetrics(std::move(exchange));
+                      }),
       configuration_(
           loop.context(), store, formats.ConfigurationKey(),
           [this](const store::StoreChange& change) { OnConfigurationChange(change); },
           [this](bool reachable, store::StoreStatus status) {
             exchange_.on_contact(reachable);
-            OnContact("configuration", configuration_, reachable, status);
+            OnStoreReachability("configuration", configuration_, reachable, status);
           },
-          ProvedWatch(settings)),
+          BoundedStalenessWatchOptions(settings)),
       runners_(
           loop.context(), store, formats.RunnersPrefix(),
           [this](const store::StoreChange& change) { OnRunnerChange(change); },
           [this](bool reachable, store::StoreStatus status) {
-            OnContact("runners", runners_, reachable, status);
+            OnStoreReachability("runners", runners_, reachable, status);
           },
-          ProvedWatch(settings)),
+          BoundedStalenessWatchOptions(settings)),
       ledger_directory_(
           loop.context(), store, kLedgerPrefix,
           [this](const store::StoreChange&) { OnLedgerDirectoryChange(); },
           [this](bool reachable, store::StoreStatus status) {
-            OnContact("ledger directory", ledger_directory_, reachable, status);
+            OnStoreReachability("ledger directory", ledger_directory_, reachable, status);
           },
-          LongWatch(settings)),
-      founders_(ledger_directory_, log),
+          LongWatchOptions(settings)),
+      layout_record_(ledger_directory_, log),
       aggregators_(
-          loop.context(), store, kAggregators,
+          loop.context(), store, kAggregatorsPrefix,
           [this](const store::StoreChange&) { exchange_.on_slots_change(); },
           [this](bool reachable, store::StoreStatus status) {
-            OnContact("aggregators", aggregators_, reachable, status);
+            OnStoreReachability("aggregators", aggregators_, reachable, status);
           },
-          WatchSlowly(settings)),
+          AggregatorWatchOptions(settings)),
       exchange_(loop.context(), settings, store, transport_,
                 {configuration_, runners_, ledger_directory_, aggregators_}, *state_, log),
-      ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }) {
-  state_->options.max_draining_runner_use = LeavingRunnerUse(settings.drain);
-  ApplyPolicy(settings.policy, *state_);
-  ApplyKnobs(settings.knobs, *state_);
+      ticker_(loop, kTickInterval, log, [this](absl::Time now) { Tick(now); }) {
+  state_->options.max_draining_runner_use = MaxDrainingRunnerUse(settings.runner_drain_period);
+  DisableMechanisms(settings.policy, *state_);
+  ApplyPolicyParameters(settings.policy_parameters, *state_);
   state_->ledger = std::make_unique<turn_ledger::LedgerClient>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::LedgerRequest& request) {
-        link_.ask(to, request);
+        link_.send_request(to, request);
       },
       LedgerOptions(settings.policy), state_->random.NextId() >> 16U);
   state_->quotas = std::make_unique<forwarding::quota_client>(
@@ -197,7 +199,7 @@
   state_->chains = std::make_unique<turn_ledger::chain_reader>(
       loop.context(),
       [this](const wire::Endpoint& to, const turn_ledger::chain_request& request) {
-        link_.ask(to, request);
+        link_.send_request(to, request);
       },
       ZoneName(settings.zone), state_->random.NextId() >> 16U);
   state_->on_placement = [this](const forwarding::PromptPart& part, std::uint32_t runner) {
@@ -208,15 +210,15 @@
 Result<void> GatewayRole::Start() {
   BOOST_LEAF_AUTO(bound, transport_.Listen({settings_.address, settings_.internal_port}));
   settings_.internal_port = bound.port;
-  transport_.LimitUnsent(settings_.memory_bytes / kMemoryShareForFrames);
-  frontend_.limits().buffered_body_bytes = settings_.memory_bytes / kMemoryShareForBodies;
-  frontend_.limits().connections = settings_.descriptors > 2 * kDescriptorsKept
-                                       ? settings_.descriptors - kDescriptorsKept
-                                       : settings_.descriptors / 2;
+  transport_.LimitUnsent(settings_.memory_bytes / kFrameMemoryDivisor);
+  frontend_.limits().buffered_body_bytes = settings_.memory_bytes / kBodyMemoryDivisor;
+  frontend_.limits().connections = settings_.max_descriptors > 2 * kReservedDescriptors
+                                       ? settings_.max_descriptors - kReservedDescriptors
+                                       : settings_.max_descriptors / 2;
   BOOST_LEAF_CHECK(frontend_.Listen(settings_.frontend));
-  BOOST_LEAF_CHECK(readiness_.Listen(settings_.readiness));
+  BOOST_LEAF_CHECK(readiness_server_.Listen(settings_.readiness));
   if (settings_.metrics) {
-    BOOST_LEAF_CHECK(metrics_.Listen(*settings_.metrics));
+    BOOST_LEAF_CHECK(metrics_server_.Listen(*settings_.metrics));
   }
   exchange_.start(settings_.internal_port);
   aggregators_.Start();
@@ -235,11 +237,11 @@
   return self;
 }
 
-// ---- What the store tells ----
+// ---- Store changes ----
 
-void GatewayRole::OnContact(const char* what, const store::PrefixMirror& mirror, bool reachable,
-                            store::StoreStatus status) {
-  log_.Write(DescribeStoreContact(what, mirror, reachable, status));
+void GatewayRole::OnStoreReachability(const char* label, const store::PrefixMirror& mirror,
+                                      bool reachable, store::StoreStatus status) {
+  log_.Write(DescribeStoreReachability(label, mirror, reachable, status));
   if (reachable) {
     exchange_.on_store_back();
   }
@@ -294,8 +296,8 @@
     return;
   }
   const discovery::RunnerState* known = state_->runners.Find(runner->id);
-  bool news = known == nullptr || known->runner.draining != runner->draining || known->gone;
-  if (news) {
+  bool changed = known == nullptr || known->runner.draining != runner->draining || known->gone;
+  if (changed) {
     log_.Write(Line("runner_known")
                    .Text("runner", runner->id.value)
                    .Text("service", runner->service.value)
@@ -303,7 +305,7 @@
                    .Flag("draining", runner->draining));
   }
   if (state_->runners.Upsert(now, *runner)) {
-    ForgetEarlierLife(runner->id);
+    DropPreviousProcessState(runner->id);
   }
 }
 
@@ -312,34 +314,34 @@
   absl::ConsumePrefix(&id, formats_.RunnersPrefix());
   discovery::RunnerId runner{std::string(id)};
   if (state_->runners.Find(runner) == nullptr) {
-    return;  // The entry never named one.
+    return;  // The record was never readable.
   }
   state_->runners.Remove(SteadyNow(), runner);
   state_->pool.CloseIdleConnections(runner);
   log_.Write(Line("runner_gone").Text("runner", id));
 }
 
-void GatewayRole::ForgetEarlierLife(const discovery::RunnerId& runner) {
+void GatewayRole::DropPreviousProcessState(const discovery::RunnerId& runner) {
   state_->pool.CloseIdleConnections(runner);
   state_->prefixes.EvictRunner(state_->runners.Find(runner)->short_id);
   log_.Write(Line("runner_started_again").Text("runner", runner.value));
 }
 
 void GatewayRole::OnLedgerDirectoryChange() {
-  if (!layout_is_due_) {
-    layout_is_due_ = true;
+  if (!layout_update_pending_) {
+    layout_update_pending_ = true;
     loop_.Post([this] {
-      layout_is_due_ = false;
-      LayOutLedger();
+      layout_update_pending_ = false;
+      UpdateLedgerLayout();
     });
   }
 }
 
-void GatewayRole::LayOutLedger() {
+void GatewayRole::UpdateLedgerLayout() {
   std::vector<Machine> machines;
   for (const auto& [key, item] : ledger_directory_.items()) {
-    if (!absl::StartsWith(key, kLedgerMachines)) {
-      continue;  // Another kind of record.
+    if (!absl::StartsWith(key, kLedgerMachinesPrefix)) {
+      continue;  // Not a machine record.
     }
     auto machine = wire::Decode<Machine>(item.value);
     if (!machine || machine->name.empty()) {
@@ -355,20 +357,20 @@
 }
 
 void GatewayRole::SetLedgerGroups(const std::vector<Machine>& machines) {
-  const turn_ledger::group_layout* layout = founders_.layout();
+  const turn_ledger::group_layout* layout = layout_record_.layout();
   if (layout == nullptr) {
     return;
   }
   std::vector<std::vector<wire::Endpoint>> groups;
   for (std::size_t index = 0; index < layout->size(); ++index) {
-    const consensus::Configuration& founders = (*layout)[index];
-    std::vector<Machine> ordered = turn_ledger::initial_members_first(machines, founders);
+    const consensus::Configuration& initial_members = (*layout)[index];
+    std::vector<Machine> ordered = turn_ledger::initial_members_first(machines, initial_members);
     std::vector<wire::Endpoint>& endpoints = groups.emplace_back();
     for (const Machine& machine : ordered) {
       endpoints.push_back(machine.endpoint);
     }
     state_->chains->set_machines(turn_ledger::group_at(index), std::move(ordered),
-                                 founders.voters.size());
+                                 initial_members.voters.size());
   }
   state_->ledger->SetGroups(std::move(groups));
   state_->prerequisite_changed.Notify();
@@ -398,9 +400,9 @@
 Task<void> GatewayRole::RelayToLedger(wire::Endpoint peer, turn_ledger::LedgerRequest request,
                                       wire::Layout layout) {
   bool settlement = std::holds_alternative<turn_ledger::SettleTurn>(request.operation);
-  absl::Duration patience =
+  absl::Duration timeout =
       settlement ? state_->options.min_commit_timeout : state_->options.ledger_timeout;
-  absl::Time deadline = SteadyNow() + patience;
+  absl::Time deadline = SteadyNow() + timeout;
   turn_ledger::CallResult result = co_await state_->ledger->Call(
       request.group, std::move(request.operation), deadline, turn_ledger::Relaying::kDirectOnly,
       request.known_programs_only ? turn_ledger::Programs::kKnownOnly
@@ -408,33 +410,36 @@
   bool answered = result.status == turn_ledger::CallStatus::kDone ||
                   result.status == turn_ledger::CallStatus::kOverloaded;
   if (!answered) {
-    co_return;  // The peer asks somebody else.
+    co_return;  // The peer retries elsewhere.
   }
   turn_ledger::LedgerReply reply;
   reply.request = request.request;
   reply.status = result ? turn_ledger::ReplyStatus::kDone : turn_ledger::ReplyStatus::kOverloaded;
   reply.result = std::move(result.result);
-  link_.answer(peer, std::move(reply), layout);
+  link_.send_reply(peer, std::move(reply), layout);
 }
 
-// ---- Time ----
+// ---- Periodic work ----
 
-void GatewayRole::JudgeReadiness() {
-  const readiness_options knobs;
-  if (!stopping_) {  // A stop waits for the calls that are under way.
+void GatewayRole::UpdateReadiness() {
+  const readiness_options options;
+  if (!stopping_) {  // A stop waits for pending calls; a probe would prolong it.
     state_->ledger->ProbeIdleGroups(kProbeAfter);
   }
-  readiness_view view;
-  view.m_now = std::chrono::steady_clock::now();
-  view.m_groups = state_->ledger->probed_groups();
-  view.m_silent_groups = state_->ledger->UnresponsiveGroups(absl::FromChrono(knobs.m_silent_after));
-  view.m_peers = exchange_.peers();
-  view.m_peers_without_ledger = exchange_.peers_without_ledger();
-  bool reaches = ledger_readiness_.judge(view) || !settings_.policy.on(mechanism::readiness);
+  ledger_observation observation;
+  observation.m_now = std::chrono::steady_clock::now();
+  observation.m_groups = state_->ledger->probed_groups();
+  observation.m_unresponsive_groups =
+      state_->ledger->UnresponsiveGroups(absl::FromChrono(options.m_unresponsive_after));
+  observation.m_peers = exchange_.peers();
+  observation.m_peers_without_ledger = exchange_.peers_without_ledger();
+  bool reaches =
+      readiness_monitor_.update(observation) || !settings_.policy.enabled(mechanism::readiness);
   std::vector<wire::Endpoint> relays;
-  // While a ledger recovers for all, its silence is no reason to send every call twice.
-  if (ledger_readiness_.lost_alone() && settings_.policy.on(mechanism::relays)) {
-    relays = exchange_.peers_with_ledger(kMostRelays);
+  // Relays are used only if the ledger is lost by this gateway alone: while it recovers for all
+  // gateways, they would double its load.
+  if (readiness_monitor_.isolated_from_ledger() && settings_.policy.enabled(mechanism::relays)) {
+    relays = exchange_.peers_with_ledger(kMaxRelays);
   }
   state_->ledger_relayed = !relays.empty();
   state_->ledger->SetRelays(std::move(relays), !reaches);
@@ -446,23 +451,24 @@
   log_.Write(
       Line("readiness_changed")
           .Flag("ready", ready())
-          .Number("groups", static_cast<std::int64_t>(view.m_groups))
-          .Number("silent_groups", static_cast<std::int64_t>(view.m_silent_groups))
-          .Number("peers", static_cast<std::int64_t>(view.m_peers))
-          .Number("peers_without_ledger", static_cast<std::int64_t>(view.m_peers_without_ledger)));
+          .Number("groups", static_cast<std::int64_t>(observation.m_groups))
+          .Number("silent_groups", static_cast<std::int64_t>(observation.m_unresponsive_groups))
+          .Number("peers", static_cast<std::int64_t>(observation.m_peers))
+          .Number("peers_without_ledger",
+                  static_cast<std::int64_t>(observation.m_peers_without_ledger)));
 }
 
 void GatewayRole::Tick(absl::Time now) {
-  exchange_.tick(ledger_readiness_.ledger_silent());
-  JudgeReadiness();
+  exchange_.tick(readiness_monitor_.ledger_unreachable());
+  UpdateReadiness();
   if (now >= next_housekeeping_) {
     next_housekeeping_ = now + kHousekeepingInterval;
-    state_->runners.Prune(now, kKeepGoneRunners);
+    state_->runners.Prune(now, kGoneRunnerRetention);
     state_->pool.Prune(now);
   }
   log_.Flush();
   if (stopping_) {
-    CheckStop(now);
+    StopIfIdle(now);
   }
 }
 
@@ -471,25 +477,25 @@
     return;
   }
   stopping_ = true;
-  stop_asked_at_ = SteadyNow();
+  stop_requested_at_ = SteadyNow();
   frontend_.BeginDrain();
   log_.Write(Line("stopping")
                  .Number("active", static_cast<std::int64_t>(frontend_.stats().active_exchanges)));
 }
 
-void GatewayRole::CheckStop(absl::Time now) {
-  absl::Duration elapsed = now - stop_asked_at_;
-  bool left_out = elapsed >= std::min(kLeastDrain, settings_.stop_grace / 2);
-  if (left_out) {
-    // Nobody is sent here any more; a request that crosses the close was not taken.
+void GatewayRole::StopIfIdle(absl::Time now) {
+  absl::Duration elapsed = now - stop_requested_at_;
+  bool out_of_rotation = elapsed >= std::min(kMinDrain, settings_.stop_grace / 2);
+  if (out_of_rotation) {
+    // No new clients arrive any more. A request that crosses the close was not accepted.
     frontend_.CloseIdle();
   }
-  // A connection that is still open may just have brought a request that isn't counted yet.
+  // An open connection may hold a received request that is not counted as active yet.
   const async_http::ServerStats& clients = frontend_.stats();
   bool idle = clients.active_exchanges == 0 && clients.open_connections == 0 &&
               state_->ledger->pending() == 0;
-  bool over = elapsed >= settings_.stop_grace - kStopMargin;
-  if ((idle && left_out) || over) {
+  bool deadline_passed = elapsed >= settings_.stop_grace - kStopMargin;
+  if ((idle && out_of_rotation) || deadline_passed) {
     log_.Write(Line("stopped").Number(
         "active", static_cast<std::int64_t>(frontend_.stats().active_exchanges)));
     loop_.Stop();
@@ -500,33 +506,33 @@
   return state_->routes != nullptr && !stopping_ && reaches_ledger_;
 }
 
-// ---- Questions ----
+// ---- Readiness and metrics endpoints ----
 
-void GatewayRole::SetStoreMetrics() {
-  struct Copy {
+void GatewayRole::UpdateStoreMetrics() {
+  struct NamedMirror {
     const char* name;
     const store::PrefixMirror& mirror;
   };
-  const Copy copies[] = {{"configuration", configuration_},
-                         {"runners", runners_},
-                         {"ledger_directory", ledger_directory_},
-                         {"aggregators", aggregators_}};
-  for (const Copy& copy : copies) {
-    absl::Duration waiting = copy.mirror.Waiting().value_or(absl::ZeroDuration());
-    state_->metrics.Set(absl::StrCat("copy_age_seconds_", copy.name),
-                        absl::ToDoubleSeconds(copy.mirror.Staleness()));
-    state_->metrics.Set(absl::StrCat("copy_call_waits_seconds_", copy.name),
+  const NamedMirror mirrors[] = {{"configuration", configuration_},
+                                 {"runners", runners_},
+                                 {"ledger_directory", ledger_directory_},
+                                 {"aggregators", aggregators_}};
+  for (const NamedMirror& named : mirrors) {
+    absl::Duration waiting = named.mirror.Waiting().value_or(absl::ZeroDuration());
+    state_->metrics.Set(absl::StrCat("copy_age_seconds_", named.name),
+                        absl::ToDoubleSeconds(named.mirror.Staleness()));
+    state_->metrics.Set(absl::StrCat("copy_call_waits_seconds_", named.name),
                         absl::ToDoubleSeconds(waiting));
   }
 }
 
-Task<void> GatewayRole::AnswerReadiness(std::shared_ptr<async_http::Exchange> exchange) {
+Task<void> GatewayRole::ServeReadiness(std::shared_ptr<async_http::Exchange> exchange) {
   async_http::HttpHead head;
   head.result(ready() ? 200U : 503U);
   co_await exchange->Send(std::move(head), ready() ? "ready" : "not ready");
 }
 
-Task<void> GatewayRole::AnswerMetrics(std::shared_ptr<async_http::Exchange> exchange) {
+Task<void> GatewayRole::ServeMetrics(std::shared_ptr<async_http::Exchange> exchange) {
   forwarding::GatewayMetrics& metrics = state_->metrics;
   metrics.Set("open_connections", static_cast<double>(frontend_.stats().open_connections));
   metrics.Set("active_requests", static_cast<double>(frontend_.stats().active_exchanges));
@@ -536,23 +542,23 @@
   metrics.Set("quota_own_decisions", static_cast<double>(state_->quotas->local_decisions()));
   metrics.Set("ledger_relayed", static_cast<double>(state_->ledger->relayed()));
   metrics.Set("store_calls", static_cast<double>(store_.calls()));
-  SetStoreMetrics();
+  UpdateStoreMetrics();
   metrics.Set("known_runners", static_cast<double>(state_->runners.all().size()));
   metrics.Set("known_gateways", static_cast<double>(exchange_.peers() + 1));
-  const exchange_stats& told = exchange_.stats();
+  const exchange_stats& counters = exchange_.stats();
   metrics.Set("aggregates", exchange_.aggregates() ? 1 : 0);
   metrics.Set("aggregator_members", static_cast<double>(exchange_.members()));
-  metrics.Set("reports_sent", static_cast<double>(told.m_reports_sent));
-  metrics.Set("reports_taken", static_cast<double>(told.m_reports_taken));
-  metrics.Set("digests_sent", static_cast<double>(told.m_digests_sent));
-  metrics.Set("digests_taken", static_cast<double>(told.m_digests_taken));
-  metrics.Set("summaries_sent", static_cast<double>(told.m_summaries_sent));
-  metrics.Set("changes_pushed", static_cast<double>(told.m_news_pushed));
-  metrics.Set("changes_asked", static_cast<double>(told.m_news_asked));
+  metrics.Set("reports_sent", static_cast<double>(counters.m_reports_sent));
+  metrics.Set("reports_taken", static_cast<double>(counters.m_reports_taken));
+  metrics.Set("digests_sent", static_cast<double>(counters.m_digests_sent));
+  metrics.Set("digests_taken", static_cast<double>(counters.m_digests_taken));
+  metrics.Set("summaries_sent", static_cast<double>(counters.m_summaries_sent));
+  metrics.Set("changes_pushed", static_cast<double>(counters.m_news_pushed));
+  metrics.Set("changes_asked", static_cast<double>(counters.m_news_asked));
   metrics.Set("lease_store_questions", static_cast<double>(exchange_.leases().m_store_questions));
   metrics.Set("lease_peer_questions", static_cast<double>(exchange_.leases().m_peer_questions));
   metrics.Set("lease_peer_answers", static_cast<double>(exchange_.leases().m_peer_answers));
-  metrics.Set("datagrams_unreadable", static_cast<double>(told.m_datagrams_unreadable));
+  metrics.Set("datagrams_unreadable", static_cast<double>(counters.m_datagrams_unreadable));
   metrics.Set("frames_unreadable", static_cast<double>(link_.stats().m_unreadable));
   metrics.Set("requests_dropped_for_unknown_peers", static_cast<double>(link_.stats().m_dropped));
   metrics.Set("peers_of_earlier_layouts", static_cast<double>(link_.earlier_peers()));
--- a/src/roles/gateway_role.h
+++ b/src/roles/gateway_role.h
@@ -1,4 +1,4 @@
-// The gateway role: takes client requests and forwards them; keeps nothing that must last.
+// The gateway role: accepts client requests and forwards them to runners. It has no durable state.
 #pragma once
 
 #include <memory>
@@ -10,10 +10,10 @@
 #include "forwarding/gateway_state.h"
 #include "roles/directory_keys.h"
 #include "roles/exchange/zone_exchange.h"
-#include "roles/ledger/founders_record.h"
+#include "roles/ledger/group_layout_record.h"
 #include "roles/peers/peer_link.h"
 #include "roles/platform_formats.h"
-#include "roles/readiness/readiness.h"
+#include "roles/readiness/readiness_monitor.h"
 #include "roles/role_settings.h"
 #include "roles/ticker.h"
 #include "store/metadata_store.h"
@@ -24,10 +24,11 @@
 
 namespace martenyard::roles {
 
-/// @param drain how long the deployment lets a leaving runner get work, from the moment that the
-/// store has taken its notice.
-/// @return how long a gateway may still use one when there is no other, from the moment it heard.
-absl::Duration LeavingRunnerUse(absl::Duration drain);
+/// @param drain how long a draining runner may be given requests, counted from the time the store
+/// accepted its notice.
+/// @return how long a gateway may fall back to a draining runner, counted from the time it learned
+/// of the notice.
+absl::Duration MaxDrainingRunnerUse(absl::Duration drain);
 
 class GatewayRole {
  public:
@@ -36,43 +37,42 @@
 
   /// Errors: wire::TransportError, async_http::ServerError.
   Result<void> Start();
-  /// A planned stop: no longer ready at once, serves on, and ends the loop when all is answered.
+  /// Planned stop: reports not ready at once, keeps serving, and stops the loop when no request is
+  /// pending.
   void RequestStop();
   bool ready() const;
   forwarding::GatewayState& state() { return *state_; }
   async_http::Server& frontend() { return frontend_; }
-  /// @return the port that clients connect to.
   std::uint16_t frontend_port() const { return frontend_.port(); }
-  std::uint16_t readiness_port() const { return readiness_.port(); }
+  std::uint16_t readiness_port() const { return readiness_server_.port(); }
 
  private:
   void OnConfigurationChange(const store::StoreChange& change);
   void OnRunnerChange(const store::StoreChange& change);
-  /// The entry under this key names no runner any more.
+  /// Removes the runner that was registered under `key`.
   void RemoveRunner(const std::string& key);
-  /// The runner has started again under its id.
-  void ForgetEarlierLife(const discovery::RunnerId& runner);
-  /// The ledger's machines or groups changed: they are laid out anew, once for all changes that
-  /// came together.
+  /// Drops connections and prefix cache state of the previous process of a restarted runner.
+  void DropPreviousProcessState(const discovery::RunnerId& runner);
+  /// Schedules one layout update for all directory changes of the current loop round.
   void OnLedgerDirectoryChange();
-  void LayOutLedger();
-  void OnContact(const char* what, const store::PrefixMirror& mirror, bool reachable,
-                 store::StoreStatus status);
-  void SetStoreMetrics();
-  /// Tells the ledger's clients which machines to ask for which group.
+  void UpdateLedgerLayout();
+  void OnStoreReachability(const char* label, const store::PrefixMirror& mirror, bool reachable,
+                           store::StoreStatus status);
+  void UpdateStoreMetrics();
+  /// Tells the ledger clients which machines to contact for each group.
   void SetLedgerGroups(const std::vector<turn_ledger::Machine>& machines);
 
   void OnFrame(const std::string& payload);
   void Tick(absl::Time now);
-  /// Looks whether the ledger answers, and tells clients to go elsewhere if only this gateway lost
-  /// it.
-  void JudgeReadiness();
-  /// Makes a peer's call to the ledger in its place.
+  /// Probes the ledger groups. Reports not ready while this gateway, but not most of its peers, has
+  /// lost the ledger.
+  void UpdateReadiness();
+  /// Executes a ledger call on behalf of a peer gateway.
   async_http::Task<void> RelayToLedger(wire::Endpoint peer, turn_ledger::LedgerRequest request,
                                        wire::Layout layout);
-  void CheckStop(absl::Time now);
-  async_http::Task<void> AnswerReadiness(std::shared_ptr<async_http::Exchange> exchange);
-  async_http::Task<void> AnswerMetrics(std::shared_ptr<async_http::Exchange> exchange);
+  void StopIfIdle(absl::Time now);
+  async_http::Task<void> ServeReadiness(std::shared_ptr<async_http::Exchange> exchange);
+  async_http::Task<void> ServeMetrics(std::shared_ptr<async_http::Exchange> exchange);
   turn_ledger::Machine Self() const;
 
   wire::EventLoop& loop_;
@@ -84,22 +84,22 @@
   wire::Transport transport_;
   peer_link link_;
   async_http::Server frontend_;
-  async_http::Server readiness_;
-  async_http::Server metrics_;
+  async_http::Server readiness_server_;
+  async_http::Server metrics_server_;
   store::PrefixMirror configuration_;
   store::PrefixMirror runners_;
   store::PrefixMirror ledger_directory_;
-  founders_record founders_;
+  group_layout_record layout_record_;
   store::PrefixMirror aggregators_;
   zone_exchange exchange_;
   Ticker ticker_;
 
-  readiness ledger_readiness_;
-  bool reaches_ledger_ = true;  ///< As far as new clients are concerned.
-  bool layout_is_due_ = false;
+  readiness_monitor readiness_monitor_;
+  bool reaches_ledger_ = true;  ///< The reported state: debounced, and true in a shared outage.
+  bool layout_update_pending_ = false;
   absl::Time next_housekeeping_;
   bool stopping_ = false;
-  absl::Time stop_asked_at_;
+  absl::Time stop_requested_at_;
 };
 
 }  // namespace martenyard::roles
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -9,9 +9,9 @@
 #include "absl/strings/strip.h"
 #include "base/clock.h"
 #include "base/random.h"
-#include "roles/contact_line.h"
-#include "roles/ledger/ledger_lines.h"
-#include "roles/store_watches.h"
+#include "roles/ledger/ledger_log_lines.h"
+#include "roles/store_reachability_line.h"
+#include "roles/store_watch_options.h"
 #include "wire/codec.h"
 
 namespace martenyard::roles {
@@ -22,50 +22,49 @@
 
 namespace {
 
-constexpr absl::Duration kTick = absl::Milliseconds(20);
+constexpr absl::Duration kTickInterval = absl::Milliseconds(20);
 constexpr absl::Duration kHelloInterval = absl::Milliseconds(250);
-/// Machines with replicas are heard of by most others anyway.
-constexpr absl::Duration kMemberHelloInterval = absl::Milliseconds(400);
-/// For each machine known: thirty messages a second at most, however many machines there are.
-constexpr absl::Duration kHelloPauseForEach = absl::Milliseconds(33);
-/// A machine that may be added was heard within this many of the others' pauses.
-constexpr double kLivePauses = 2.5;
-/// Machines named in one message of a machine that holds nothing yet; others with the next.
-constexpr std::size_t kMostMachinesTold = 16;
-constexpr absl::Duration kReopenPause = absl::Milliseconds(250);
-constexpr absl::Duration kRegisterPause = absl::Seconds(1);
-constexpr absl::Duration kFoundingPause = absl::Milliseconds(200);
-/// With fewer machines than wanted, the group is founded only after this time.
-constexpr absl::Duration kFoundingPatience = absl::Seconds(4);
-/// Machines start within some tenths of a second of each other: all should be in the layout.
-constexpr absl::Duration kFoundingLinger = absl::Milliseconds(1500);
-/// Between two machines' tries to found: the store's answer and the watch of it take less.
-constexpr absl::Duration kFoundingTurn = absl::Milliseconds(150);
-constexpr absl::Duration kLoneFoundingLinger = absl::Milliseconds(300);
-constexpr absl::Duration kHandOverLimit = absl::Milliseconds(600);
-constexpr absl::Duration kMemoryInterval = absl::Milliseconds(200);
-constexpr absl::Duration kProgressInterval = absl::Seconds(2);
-/// A snapshot's share of a tick. Four times as much kept a machine with half a core so busy that
-/// its heartbeats came late.
+/// For machines with replicas, which also send log messages to many of the others.
+constexpr absl::Duration kReplicaHelloInterval = absl::Milliseconds(400);
+/// Per known machine; limits hellos to 30 per second regardless of the number of machines.
+constexpr absl::Duration kHelloIntervalPerMachine = absl::Milliseconds(33);
+/// A machine counts as alive if it was heard within this many hello intervals.
+constexpr double kLivenessHelloIntervals = 2.5;
+/// Known machines listed in one hello of a machine without replicas; each hello lists a new sample.
+constexpr std::size_t kMaxMachinesPerHello = 16;
+constexpr absl::Duration kDiskReopenDelay = absl::Milliseconds(250);
+constexpr absl::Duration kRegisterRetryDelay = absl::Seconds(1);
+constexpr absl::Duration kDirectoryPollInterval = absl::Milliseconds(200);
+/// With fewer machines than replicas, the groups are bootstrapped only after this time.
+constexpr absl::Duration kBootstrapTimeout = absl::Seconds(4);
+/// Lets all machines of a starting deployment register before the group layout is written.
+constexpr absl::Duration kBootstrapSettleTime = absl::Milliseconds(1500);
+/// Stagger of the machines' bootstrap attempts; longer than a store write and its watch event.
+constexpr absl::Duration kBootstrapStagger = absl::Milliseconds(150);
+constexpr absl::Duration kSingleReplicaSettleTime = absl::Milliseconds(300);
+constexpr absl::Duration kLeadershipTransferTimeout = absl::Milliseconds(600);
+constexpr absl::Duration kMemoryCheckInterval = absl::Milliseconds(200);
+constexpr absl::Duration kProgressLogInterval = absl::Seconds(2);
+/// Snapshot bytes stored per tick. Larger steps delay heartbeats on machines with little CPU.
 constexpr std::size_t kSnapshotStepBytes = std::size_t{64} << 10;
-/// A part of a snapshot to another machine; the next one waits until the connection has taken it.
+/// Size of a snapshot part sent to a peer; the next part waits until the connection has room.
 constexpr std::size_t kTransferPartBytes = std::size_t{128} << 10;
-/// Of the memory, for frames to peers that don't take them.
-constexpr std::uint64_t kMemoryShareForFrames = 6;
-constexpr absl::Duration kFlushInterval = absl::Milliseconds(250);
-constexpr char kPeersFile[] = "peers";
+/// Limits unsent frames to peers to 1/6 of the memory limit.
+constexpr std::uint64_t kFrameMemoryDivisor = 6;
+constexpr absl::Duration kLogFlushInterval = absl::Milliseconds(250);
+constexpr char kPeersFileName[] = "peers";
 
-std::size_t WantedReplicas(const RoleSettings& settings) {
-  return 2 * settings.tolerated_machines + 1;
+std::size_t ReplicasPerGroup(const RoleSettings& settings) {
+  return 2 * settings.tolerated_failures + 1;
 }
 
-/// A slow machine is busy for longer with a step that it must not be interrupted in: reading a log,
-/// applying what was committed. Its peers must not take that for its death.
+/// Scaled up on machines with little CPU, whose uninterruptible steps (reading a log, applying
+/// committed entries) take longer and must not cause an election.
 absl::Duration ElectionTimeout(const RoleSettings& settings) {
-  constexpr absl::Duration kQuickMachine = absl::Milliseconds(220);
-  constexpr double kQuickShare = 0.25;
-  constexpr double kSlowest = 3;
-  return kQuickMachine * std::clamp(kQuickShare / settings.processor_share, 1.0, kSlowest);
+  constexpr absl::Duration kBaseTimeout = absl::Milliseconds(220);
+  constexpr double kFullSpeedShare = 0.25;
+  constexpr double kMaxSlowdown = 3;
+  return kBaseTimeout * std::clamp(kFullSpeedShare / settings.processor_share, 1.0, kMaxSlowdown);
 }
 
 turn_ledger::ReplicaOptions MakeReplicaOptions(const RoleSettings& settings, GroupId group,
@@ -74,23 +73,23 @@
   options.raft.election_timeout = ElectionTimeout(settings);
   options.raft.heartbeat_interval = absl::Milliseconds(60);
   options.raft.start_wait_share = 0.4;
-  options.planner.replicas = WantedReplicas(settings);
+  options.planner.replicas = ReplicasPerGroup(settings);
   options.quota = settings.quota;
   options.planner.group = group.value;
   options.planner.live_within =
-      std::max(options.planner.live_within,
-               kHelloPauseForEach * kLivePauses * static_cast<double>(known_machines));
+      std::max(options.planner.live_within, kHelloIntervalPerMachine * kLivenessHelloIntervals *
+                                                static_cast<double>(known_machines));
   options.preferred_leaders =
-      group != turn_ledger::group_at(0) && settings.policy.on(mechanism::hand_back);
-  if (!settings.policy.on(mechanism::overload_refusal)) {
+      group != turn_ledger::group_at(0) && settings.policy.enabled(mechanism::hand_back);
+  if (!settings.policy.enabled(mechanism::overload_refusal)) {
     options.overload_after = absl::InfiniteDuration();
   }
   return options;
 }
 
-/// All machines register when the system starts: their records are fetched together.
-store::MirrorOptions DirectoryOptions(const RoleSettings& settings) {
-  store::MirrorOptions options = LongWatch(settings);
+/// Batches the registrations of all machines when the system starts.
+store::MirrorOptions DirectoryWatchOptions(const RoleSettings& settings) {
+  store::MirrorOptions options = LongWatchOptions(settings);
   options.watch_spacing = absl::Milliseconds(500);
   return options;
 }
@@ -108,41 +107,41 @@
       open_log_store_(std::move(open_log_store)),
       transport_(
           loop, [this](const std::string& payload) { OnFrame(payload); },
-          [this](const std::string& payload) { copies_.on_datagram(payload); },
-          [this](const wire::Endpoint& peer, absl::Time) { OnDead(peer); }),
+          [this](const std::string& payload) { persisted_mirrors_.on_datagram(payload); },
+          [this](const wire::Endpoint& peer, absl::Time) { OnPeerDown(peer); }),
       link_(
           transport_, [this] { return Self(); }, log),
       directory_(
           loop.context(), store, kLedgerPrefix,
           [this](const store::StoreChange& change) { OnDirectoryChange(change); },
           [this](bool reachable, store::StoreStatus status) {
-            log_.Write(DescribeStoreContact("directory", directory_, reachable, status));
+            log_.Write(DescribeStoreReachability("directory", directory_, reachable, status));
           },
-          DirectoryOptions(settings)),
-      founders_(directory_, log),
-      emptying_(
-          loop.context(), settings, formats, store, directory_, founders_, log,
+          DirectoryWatchOptions(settings)),
+      layout_record_(directory_, log),
+      retirement_(
+          loop.context(), settings, formats, store, directory_, layout_record_, log,
           [this](GroupId group) { return Find(group); },
-          [this](const std::vector<std::string>& machines) { OnRetiring(machines); }),
-      copies_(
+          [this](const std::vector<std::string>& machines) { OnRetiringMachines(machines); }),
+      persisted_mirrors_(
           loop.context(), settings_, formats, store, transport_, directory_,
           [this] { return Self(); }, log),
-      peers_(settings.data_folder + "/" + kPeersFile, log),
-      ticker_(loop, kTick, log, [this](absl::Time now) { Tick(now); }),
+      peers_(settings.data_folder + "/" + kPeersFileName, log),
+      ticker_(loop, kTickInterval, log, [this](absl::Time now) { Tick(now); }),
       memory_(settings.memory_bytes),
       random_(SystemSeed()) {}
 
 Result<void> LedgerRole::Start() {
   BOOST_LEAF_AUTO(bound, transport_.Listen({settings_.address, settings_.internal_port}));
   settings_.internal_port = bound.port;
-  transport_.LimitUnsent(settings_.memory_bytes / kMemoryShareForFrames);
+  transport_.LimitUnsent(settings_.memory_bytes / kFrameMemoryDivisor);
   OpenDisk();
-  copies_.start();
+  persisted_mirrors_.start();
   directory_.Start();
-  emptying_.start();
+  retirement_.start();
   async_http::asio::co_spawn(loop_.context(), Register(), async_http::asio::detached);
-  async_http::asio::co_spawn(loop_.context(), FoundWhenPossible(), async_http::asio::detached);
-  loop_.SetRoundHook([this] { Settle(); });
+  async_http::asio::co_spawn(loop_.context(), BootstrapGroups(), async_http::asio::detached);
+  loop_.SetRoundHook([this] { ProcessReady(); });
   ticker_.Start();
   return {};
 }
@@ -174,23 +173,23 @@
   disk_.reset();
   log_.Write(Line("disk_failed").Text("detail", failure->detail));
   if (failure->code == storage::StorageError::Code::kDamaged) {
-    SetDamagedLogAside();
+    QuarantineDamagedLog();
   }
-  loop_.After(kReopenPause, [this] { OpenDisk(); });
+  loop_.After(kDiskReopenDelay, [this] { OpenDisk(); });
 }
 
-void LedgerRole::SetDamagedLogAside() {
-  // A log with a hole must not vote: this machine rejoins under a new identity.
+void LedgerRole::QuarantineDamagedLog() {
+  // A replica with a damaged log must not vote: this machine rejoins under a new identity.
   std::filesystem::path folder = std::filesystem::path(settings_.data_folder) / kLogFolder;
-  std::filesystem::path aside = folder.string() + ".damaged";
+  std::filesystem::path quarantine = folder.string() + ".damaged";
   std::error_code error;
-  std::filesystem::remove_all(aside, error);
+  std::filesystem::remove_all(quarantine, error);
   if (!error) {
-    std::filesystem::rename(folder, aside, error);
+    std::filesystem::rename(folder, quarantine, error);
   }
-  // The log is opened again in any case; a folder that stayed is found damaged again.
+  // The log is reopened in any case; if the rename failed, it is found damaged again.
   log_.Write(Line("log_set_aside")
-                 .Text("folder", aside.string())
+                 .Text("folder", quarantine.string())
                  .Text("error", error ? error.message() : ""));
 }
 
@@ -201,7 +200,7 @@
     BOOST_LEAF_CHECK(disk_->SetIdentity(stored.identity));
   }
   identity_ = stored.identity;
-  next_hello_ = SteadyNow();  // The others learn at once who this machine is now.
+  next_hello_ = SteadyNow();  // Announces the identity to the peers without delay.
   std::size_t entries = 0;
   for (const auto& [group, stored_group] : stored.groups) {
     entries += stored_group.entries.size();
@@ -220,11 +219,11 @@
 }
 
 void LedgerRole::OnDiskFailed(const std::string& detail) {
-  // What is on the disk is unknown now: forget the memory of it and read it again.
+  // The state of the disk is unknown now: discard the replicas and reload them.
   log_.Write(Line("disk_failed").Text("detail", detail));
   replicas_.clear();
   disk_.reset();
-  loop_.After(kReopenPause, [this] { OpenDisk(); });
+  loop_.After(kDiskReopenDelay, [this] { OpenDisk(); });
 }
 
 turn_ledger::TurnReplica& LedgerRole::StartReplica(GroupId group,
@@ -236,7 +235,7 @@
   for (const auto& [name, machine] : peers_.machines()) {
     replica->UpdateMachine(SteadyNow(), machine, /*self_reported=*/false);
   }
-  replica->SetRetiring(emptying_.retiring());
+  replica->SetRetiring(retirement_.retiring_machines());
   replicas_[group] = std::move(replica);
   return *replicas_[group];
 }
@@ -249,7 +248,7 @@
   return Recover<storage::StorageError>(
       [&]() -> Result<Read> { return disk_->ReadEntry(group, entry); },
       [this](const storage::StorageError& error) {
-        // Later: this may run amid a replica's own work.
+        // Deferred: a replica may be the caller, and OnDiskFailed() destroys all replicas.
         loop_.Post([this, detail = error.detail] { OnDiskFailed(detail); });
         return Read();
       });
@@ -260,21 +259,21 @@
   return found == replicas_.end() ? nullptr : found->second.get();
 }
 
-void LedgerRole::Settle() {
+void LedgerRole::ProcessReady() {
   auto has_work = [](const auto& entry) { return entry.second->HasWork(); };
   while (std::any_of(replicas_.begin(), replicas_.end(), has_work)) {
-    if (!SettleOnce()) {
+    if (!ProcessReadyOnce()) {
       return;
     }
   }
   for (const auto& [group, replica] : replicas_) {
-    LogLeadership(group, *replica);
-    LogUnreadable(group, *replica);
+    LogReplicaRole(group, *replica);
+    LogHaltedReplica(group, *replica);
   }
 }
 
-bool LedgerRole::SettleOnce() {
-  // All groups' writes share one sync.
+bool LedgerRole::ProcessReadyOnce() {
+  // The writes of all groups share one sync.
   std::vector<std::pair<GroupId, consensus::Ready>> readies;
   std::vector<storage::GroupWrite> writes;
   for (auto& [group, replica] : replicas_) {
@@ -308,10 +307,10 @@
     for (const consensus::Outbound& outbound : ready.messages_after_store) {
       SendRaft(group, outbound);
     }
-    work_.timed(work_kind::applying,
-                [&replica = replica, &ready = ready] { replica.Apply(ready); });
+    work_stats_.measure(work_kind::applying,
+                        [&replica = replica, &ready = ready] { replica.Apply(ready); });
     for (turn_ledger::OutgoingLedgerReply& reply : replica.TakeReplies()) {
-      link_.answer(reply.gateway, std::move(reply.reply), reply.layout);
+      link_.send_reply(reply.gateway, std::move(reply.reply), reply.layout);
     }
   }
   return true;
@@ -321,7 +320,7 @@
   std::string failure = Recover<storage::StorageError>(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(
-            work_.timed(work_kind::store_writes, [&] { return disk_->Write(writes); }));
+            work_stats_.measure(work_kind::store_writes, [&] { return disk_->Write(writes); }));
         return std::string();
       },
       [](const storage::StorageError& error) { return error.detail; });
@@ -395,10 +394,10 @@
   }
 }
 
-void LedgerRole::WatchMemory() {
+void LedgerRole::CheckMemory() {
   bool was_full = memory_.full();
   std::uint64_t used = allocated_bytes();
-  bool full = memory_.judge(used);
+  bool full = memory_.update(used);
   for (auto& [group, replica] : replicas_) {
     replica->SetMemoryFull(full);
   }
@@ -409,41 +408,41 @@
   }
 }
 
-// ---- Time ----
+// ---- Periodic work ----
 
 void LedgerRole::Tick(absl::Time now) {
   for (auto& [group, replica] : replicas_) {
     replica->Tick(now);
   }
-  work_.timed(work_kind::transfers, [this] {
+  work_stats_.measure(work_kind::transfers, [this] {
     for (auto& [group, replica] : replicas_) {
       SendTransfers(group, *replica);
     }
   });
-  if (now >= next_memory_look_) {
-    next_memory_look_ = now + kMemoryInterval;
-    WatchMemory();
+  if (now >= next_memory_check_) {
+    next_memory_check_ = now + kMemoryCheckInterval;
+    CheckMemory();
   }
-  // One group's part a tick; a failing disk ends all replicas.
+  // One group per tick. The loop must end here: a disk failure destroys all replicas.
   for (auto& [group, replica] : replicas_) {
     if (replica->IsTakingSnapshot()) {
-      work_.timed(work_kind::snapshot_steps, [this, group = group, &replica = *replica] {
+      work_stats_.measure(work_kind::snapshot_steps, [this, group = group, &replica = *replica] {
         StoreSnapshotStep(group, replica);
       });
       break;
     }
   }
-  copies_.tick();
+  persisted_mirrors_.tick();
   if (now >= next_hello_) {
-    next_hello_ = now + HelloPause();
-    SayHello();
+    next_hello_ = now + HelloInterval();
+    SendHello();
   }
-  if (now >= next_flush_) {
-    next_flush_ = now + kFlushInterval;
+  if (now >= next_log_flush_) {
+    next_log_flush_ = now + kLogFlushInterval;
     log_.Flush();
   }
-  if (now >= next_progress_) {
-    next_progress_ = now + kProgressInterval;
+  if (now >= next_progress_log_) {
+    next_progress_log_ = now + kProgressLogInterval;
     for (const auto& [group, replica] : replicas_) {
       LogProgress(group, *replica);
     }
@@ -461,7 +460,7 @@
 
 void LedgerRole::RequestStop() {
   stopping_ = true;
-  stop_deadline_ = SteadyNow() + kHandOverLimit;
+  stop_deadline_ = SteadyNow() + kLeadershipTransferTimeout;
   log_.Write(Line("stopping"));
   for (auto& [group, replica] : replicas_) {
     replica->TransferLeadership();
@@ -473,24 +472,24 @@
 }
 
 void LedgerRole::LogWork() {
-  log_.Write(
-      describe_work(work_.take(), disk_ == nullptr ? storage::WriteBacklog{} : disk_->Backlog()));
+  log_.Write(describe_work(work_stats_.take(),
+                           disk_ == nullptr ? storage::WriteBacklog{} : disk_->Backlog()));
 }
 
-void LedgerRole::LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica) {
-  if (replica.unreadable_index() && halted_.insert(group).second) {
+void LedgerRole::LogHaltedReplica(GroupId group, const turn_ledger::TurnReplica& replica) {
+  if (replica.unreadable_index() && halted_groups_.insert(group).second) {
     log_.Write(Line("replica_halted")
                    .Number("group", group.value)
                    .Number("index", static_cast<std::int64_t>(*replica.unreadable_index())));
   }
 }
 
-void LedgerRole::LogLeadership(GroupId group, const turn_ledger::TurnReplica& replica) {
+void LedgerRole::LogReplicaRole(GroupId group, const turn_ledger::TurnReplica& replica) {
   const consensus::Raft& raft = replica.raft();
-  LoggedRole present{raft.role(), raft.term(), raft.configuration()};
+  LoggedRole current{raft.role(), raft.term(), raft.configuration()};
   std::optional<LoggedRole>& logged = logged_roles_[group];
-  if (logged != present) {
-    logged = present;
+  if (logged != current) {
+    logged = current;
     log_.Write(describe_replica_role(group, raft));
   }
 }
@@ -504,19 +503,20 @@
   }
   turn_ledger::Envelope& envelope = read->m_envelope;
   if (envelope.from.identity != kNoNode) {
-    NoteMachine(envelope.from, /*heard_now=*/true);
+    UpdateMachine(envelope.from, /*heard_directly=*/true);
   }
   if (const auto* message = std::get_if<turn_ledger::LogMessage>(&envelope.body)) {
-    work_.timed(work_kind::log_messages, [&] { OnLogMessage(envelope.from, *message); });
+    work_stats_.measure(work_kind::log_messages, [&] { OnLogMessage(envelope.from, *message); });
   } else if (const auto* request = std::get_if<turn_ledger::LedgerRequest>(&envelope.body)) {
-    work_.timed(work_kind::requests,
-                [&] { OnRequest(envelope.from.endpoint, *request, read->m_layout); });
+    work_stats_.measure(work_kind::requests,
+                        [&] { OnRequest(envelope.from.endpoint, *request, read->m_layout); });
   } else if (const auto* chain = std::get_if<turn_ledger::chain_request>(&envelope.body)) {
-    work_.timed(work_kind::chain_reads, [&] { OnChainRequest(envelope.from.endpoint, *chain); });
+    work_stats_.measure(work_kind::chain_reads,
+                        [&] { OnChainRequest(envelope.from.endpoint, *chain); });
   } else if (const auto* hello = std::get_if<turn_ledger::Hello>(&envelope.body)) {
     OnHello(*hello);
-  } else if (const auto* news = std::get_if<store::news_reply>(&envelope.body)) {
-    copies_.on_news(*news);
+  } else if (const auto* changes = std::get_if<store::news_reply>(&envelope.body)) {
+    persisted_mirrors_.on_changes(*changes);
   }
 }
 
@@ -529,7 +529,7 @@
   turn_ledger::LedgerReply reply;
   reply.request = request.request;
   reply.status = turn_ledger::ReplyStatus::kNotLeader;
-  link_.answer(from, reply, layout);
+  link_.send_reply(from, reply, layout);
 }
 
 void LedgerRole::OnChainRequest(const wire::Endpoint& from,
@@ -539,18 +539,19 @@
   const turn_ledger::TurnReplica* replica = Find(request.m_group);
   if (replica != nullptr && !replica->unreadable_index()) {
     reply = replica->state().ReadChain(request);
-    work_.add_bytes(work_kind::chain_reads, reply.m_text.size());
+    work_stats_.add_bytes(work_kind::chain_reads, reply.m_text.size());
   }
-  link_.tell(from, std::move(reply));
+  link_.send_message(from, std::move(reply));
 }
 
 void LedgerRole::OnLogMessage(const Machine& from, const turn_ledger::LogMessage& message) {
   if (message.to != identity_) {
-    link_.tell(from.endpoint, turn_ledger::Hello{});  // It means the disk that this machine lost.
+    // Sent to the identity of a lost disk: announces the current one.
+    link_.send_message(from.endpoint, turn_ledger::Hello{});
     return;
   }
   if (Find(message.group) == nullptr && disk_ != nullptr) {
-    // Only a leader makes a machine a replica; it starts without a vote and learns the log.
+    // Only a leader adds replicas; a new one is a learner until it has caught up.
     bool from_leader = std::holds_alternative<consensus::AppendRequest>(message.message) ||
                        std::holds_alternative<consensus::SnapshotRequest>(message.message);
     if (from_leader) {
@@ -559,7 +560,8 @@
   }
   if (const auto* staged = std::get_if<consensus::StagedEntries>(&message.message)) {
     if (disk_ != nullptr) {
-      work_.timed(work_kind::staged_entries, [&] { OnStagedEntries(message.group, *staged); });
+      work_stats_.measure(work_kind::staged_entries,
+                          [&] { OnStagedEntries(message.group, *staged); });
     }
     return;
   }
@@ -574,37 +576,37 @@
 
 void LedgerRole::OnHello(const turn_ledger::Hello& hello) {
   for (const Machine& machine : hello.known) {
-    if (!peers_.Knows(machine.name)) {
-      NoteMachine(machine, /*heard_now=*/false);
+    if (!peers_.Contains(machine.name)) {
+      UpdateMachine(machine, /*heard_directly=*/false);
     }
   }
 }
 
-void LedgerRole::NoteMachine(const Machine& machine, bool heard_now) {
+void LedgerRole::UpdateMachine(const Machine& machine, bool heard_directly) {
   if (machine.name == settings_.node || machine.name.empty()) {
     return;
   }
-  if (heard_now) {
-    peers_.NoteHeard(machine.name);
+  if (heard_directly) {
+    peers_.MarkHeardFrom(machine.name);
   }
-  bool changed = peers_.Note(machine);
+  bool changed = peers_.Update(machine);
   if (changed) {
     log_.Write(Line("machine_known")
                    .Text("machine", machine.name)
                    .Text("identity", absl::StrCat(absl::Hex(machine.identity.value)))
                    .Text("address", machine.endpoint.ToString()));
   }
-  if (heard_now || changed) {
+  if (heard_directly || changed) {
     for (auto& [group, replica] : replicas_) {
-      replica->UpdateMachine(SteadyNow(), machine, heard_now);
+      replica->UpdateMachine(SteadyNow(), machine, heard_directly);
     }
   }
 }
 
-bool LedgerRole::HeardAnyway() {
-  // With several groups a machine is a spare of those that it is no member of: their leaders must
-  // know that it lives.
-  const turn_ledger::group_layout* layout = founders_.layout();
+bool LedgerRole::HelloIsRedundant() {
+  // With several groups, the leaders of groups without this machine need its hellos to know that it
+  // is available as a replacement.
+  const turn_ledger::group_layout* layout = layout_record_.layout();
   bool single = layout != nullptr && layout->size() == 1;
   const turn_ledger::TurnReplica* first = replica();
   if (!single || first == nullptr) {
@@ -614,13 +616,13 @@
   return raft.configuration().IsVoter(identity_) && (raft.IsLeader() || raft.leader() != kNoNode);
 }
 
-absl::Duration LedgerRole::HelloPause() const {
-  absl::Duration least = replicas_.empty() ? kHelloInterval : kMemberHelloInterval;
-  return std::max(least, kHelloPauseForEach * peers_.machines().size());
+absl::Duration LedgerRole::HelloInterval() const {
+  absl::Duration min_interval = replicas_.empty() ? kHelloInterval : kReplicaHelloInterval;
+  return std::max(min_interval, kHelloIntervalPerMachine * peers_.machines().size());
 }
 
-void LedgerRole::SayHello() {
-  if (identity_ == kNoNode || HeardAnyway()) {
+void LedgerRole::SendHello() {
+  if (identity_ == kNoNode || HelloIsRedundant()) {
     return;
   }
   turn_ledger::Hello hello;
@@ -629,23 +631,23 @@
     for (const auto& [name, machine] : peers_.machines()) {
       known.push_back(machine);
     }
-    std::sample(known.begin(), known.end(), std::back_inserter(hello.known), kMostMachinesTold,
+    std::sample(known.begin(), known.end(), std::back_inserter(hello.known), kMaxMachinesPerHello,
                 random_.engine());
   }
   for (const auto& [name, machine] : peers_.machines()) {
-    link_.tell(machine.endpoint, hello);
+    link_.send_message(machine.endpoint, hello);
   }
   if (peers_.machines().empty()) {
-    // A machine with a new disk, while the store that would name the others is away.
+    // A new disk, and the store that lists the other machines is unavailable.
     for (const wire::Endpoint& seed : settings_.seeds) {
       if (seed.address != settings_.address) {
-        link_.tell(seed, hello);
+        link_.send_message(seed, hello);
       }
     }
   }
 }
 
-void LedgerRole::OnDead(const wire::Endpoint& peer) {
+void LedgerRole::OnPeerDown(const wire::Endpoint& peer) {
   for (const auto& [name, machine] : peers_.machines()) {
     if (machine.endpoint != peer || replicas_.empty()) {
       continue;
@@ -659,7 +661,8 @@
 
 void LedgerRole::SendRaft(GroupId group, const consensus::Outbound& outbound) {
   if (const Machine* machine = peers_.Find(outbound.to)) {
-    link_.tell(machine->endpoint, turn_ledger::LogMessage{outbound.to, group, outbound.message});
+    link_.send_message(machine->endpoint,
+                       turn_ledger::LogMessage{outbound.to, group, outbound.message});
   }
 }
 
@@ -667,53 +670,53 @@
 
 void LedgerRole::OnDirectoryChange(const store::StoreChange& change) {
   absl::string_view key = change.key;
-  if (!change.value || !absl::ConsumePrefix(&key, kLedgerMachines)) {
+  if (!change.value || !absl::ConsumePrefix(&key, kLedgerMachinesPrefix)) {
     return;
   }
   if (auto machine = wire::Decode<Machine>(*change.value)) {
-    // What the store says may be older than what the machine itself said in this life.
-    if (!peers_.HasHeard(machine->name)) {
-      NoteMachine(*machine, /*heard_now=*/false);
+    // The store's record may be older than what the machine itself sent to this process.
+    if (!peers_.HasHeardFrom(machine->name)) {
+      UpdateMachine(*machine, /*heard_directly=*/false);
     }
   }
 }
 
 Task<void> LedgerRole::Register() {
-  std::string key = absl::StrCat(kLedgerMachines, settings_.node);
+  std::string key = absl::StrCat(kLedgerMachinesPrefix, settings_.node);
   while (true) {
-    auto present = directory_.items().find(key);
-    bool known = present != directory_.items().end();
+    auto record = directory_.items().find(key);
+    bool registered = record != directory_.items().end();
     std::string wanted = wire::Encode(Self());
     bool due = identity_ != kNoNode && directory_.complete() &&
-               (!known || present->second.value != wanted);
+               (!registered || record->second.value != wanted);
     if (due) {
       store::Transaction transaction;
-      transaction.conditions.push_back({key, known ? present->second.revision : 0});
+      transaction.conditions.push_back({key, registered ? record->second.revision : 0});
       transaction.puts.push_back({key, wanted, 0});
       co_await store_.Commit(std::move(transaction));
-      co_await async_http::Sleep(loop_.context(), kRegisterPause);
+      co_await async_http::Sleep(loop_.context(), kRegisterRetryDelay);
     }
-    co_await async_http::Sleep(loop_.context(), kFoundingPause);
+    co_await async_http::Sleep(loop_.context(), kDirectoryPollInterval);
   }
 }
 
-void LedgerRole::OnRetiring(const std::vector<std::string>& machines) {
+void LedgerRole::OnRetiringMachines(const std::vector<std::string>& machines) {
   for (auto& [group, replica] : replicas_) {
     replica->SetRetiring(machines);
   }
 }
 
-void LedgerRole::FoundFromRecord() {
-  const turn_ledger::group_layout* layout = founders_.layout();
+void LedgerRole::StartRecordedGroups() {
+  const turn_ledger::group_layout* layout = layout_record_.layout();
   for (std::size_t index = 0; layout != nullptr && index < layout->size(); ++index) {
     GroupId group = turn_ledger::group_at(index);
-    const consensus::Configuration& founders = (*layout)[index];
-    if (disk_ == nullptr || Find(group) != nullptr || !founders.IsVoter(identity_)) {
+    const consensus::Configuration& initial_members = (*layout)[index];
+    if (disk_ == nullptr || Find(group) != nullptr || !initial_members.IsVoter(identity_)) {
       continue;
     }
-    // The record is never changed: all founders start from the same empty log.
+    // The record is immutable, so all initial voters start from the same empty log.
     consensus::RestoredState restored;
-    restored.snapshot.configuration = founders;
+    restored.snapshot.configuration = initial_members;
     storage::GroupWrite write;
     write.group = group;
     write.snapshot = restored.snapshot;
@@ -722,20 +725,20 @@
     }
     log_.Write(Line("group_founded")
                    .Number("group", group.value)
-                   .Number("voters", static_cast<std::int64_t>(founders.voters.size())));
+                   .Number("voters", static_cast<std::int64_t>(initial_members.voters.size())));
     StartReplica(group, std::move(restored));
   }
 }
 
-Task<void> LedgerRole::FoundWhenPossible() {
-  absl::Time began = SteadyNow();
+Task<void> LedgerRole::BootstrapGroups() {
+  absl::Time start_time = SteadyNow();
   while (true) {
-    co_await async_http::Sleep(loop_.context(), kFoundingPause);
+    co_await async_http::Sleep(loop_.context(), kDirectoryPollInterval);
     if (!directory_.complete()) {
       continue;
     }
-    if (directory_.items().contains(kLedgerGroups)) {
-      FoundFromRecord();
+    if (directory_.items().contains(kLedgerGroupsKey)) {
+      StartRecordedGroups();
       continue;
     }
     if (!settings_.first_start) {
@@ -743,29 +746,30 @@
     }
     std::vector<Machine> machines;
     for (const auto& [key, item] : directory_.items()) {
-      if (!absl::StartsWith(key, kLedgerMachines)) {
-        continue;  // Another kind of record.
+      if (!absl::StartsWith(key, kLedgerMachinesPrefix)) {
+        continue;  // Not a machine record.
       }
       if (auto machine = wire::Decode<Machine>(item.value)) {
         machines.push_back(*machine);
       }
     }
-    std::size_t wanted = WantedReplicas(settings_);
-    // One after the other: all see the same machines, and one write is enough.
-    auto before = static_cast<double>(
+    std::size_t wanted = ReplicasPerGroup(settings_);
+    // Staggered by name, so that usually only the first machine writes the record.
+    auto preceding = static_cast<double>(
         std::count_if(machines.begin(), machines.end(),
                       [this](const Machine& machine) { return machine.name < settings_.node; }));
-    absl::Time own_turn = began + kFoundingTurn * before;
-    bool patient = SteadyNow() < began + kFoundingPatience;
-    absl::Duration linger = wanted > 1 ? kFoundingLinger : kLoneFoundingLinger;
-    bool all_here = machines.size() >= wanted && SteadyNow() > began + linger;
-    if (machines.empty() || (!all_here && patient) || SteadyNow() < own_turn + linger) {
+    absl::Time own_attempt = start_time + kBootstrapStagger * preceding;
+    bool may_wait = SteadyNow() < start_time + kBootstrapTimeout;
+    absl::Duration settle_time = wanted > 1 ? kBootstrapSettleTime : kSingleReplicaSettleTime;
+    bool all_registered = machines.size() >= wanted && SteadyNow() > start_time + settle_time;
+    if (machines.empty() || (!all_registered && may_wait) ||
+        SteadyNow() < own_attempt + settle_time) {
       continue;
     }
     store::Transaction transaction;
-    transaction.conditions.push_back({kLedgerGroups, 0});
+    transaction.conditions.push_back({kLedgerGroupsKey, 0});
     transaction.puts.push_back(
-        {kLedgerGroups, wire::Encode(turn_ledger::layout_groups(machines, wanted)), 0});
+        {kLedgerGroupsKey, wire::Encode(turn_ledger::layout_groups(machines, wanted)), 0});
     co_await store_.Commit(std::move(transaction));
   }
 }
--- a/src/roles/ledger_role.h
+++ b/src/roles/ledger_role.h
@@ -1,5 +1,5 @@
-// The ledger role: a storage machine's replica of the turn ledger, wired to its disk, its peers and
-// the platform's store.
+// The ledger role: connects a storage machine's replicas of the turn ledger to its disk, its peers
+// and the platform's store.
 #pragma once
 
 #include <functional>
@@ -13,12 +13,12 @@
 #include "base/random.h"
 #include "event_log/event_log.h"
 #include "roles/directory_keys.h"
-#include "roles/ledger/founders_record.h"
-#include "roles/ledger/kept_copies.h"
-#include "roles/ledger/machine_emptying.h"
-#include "roles/ledger/work_account.h"
+#include "roles/ledger/group_layout_record.h"
+#include "roles/ledger/machine_retirement.h"
+#include "roles/ledger/persisted_mirrors.h"
+#include "roles/ledger/work_stats.h"
 #include "roles/memory/memory_guard.h"
-#include "roles/peer_book.h"
+#include "roles/peer_registry.h"
 #include "roles/peers/peer_link.h"
 #include "roles/platform_formats.h"
 #include "roles/role_settings.h"
@@ -36,7 +36,7 @@
 /// The log store's folder within the data folder.
 inline constexpr char kLogFolder[] = "log";
 
-/// Opens the log store; given so that tests bring their own disks.
+/// Opens the log store; injected so that tests can substitute the disk.
 using OpenLogStore = std::function<Result<std::unique_ptr<storage::LogStore>>()>;
 
 class LedgerRole {
@@ -46,33 +46,33 @@
 
   /// Errors: wire::TransportError.
   Result<void> Start();
-  /// A planned stop: hands leadership on, then ends the loop.
+  /// Planned stop: transfers leadership, then stops the loop.
   void RequestStop();
-  /// @return the replica of the lowest group that this machine has one of, or null.
+  /// @return this machine's replica of the group with the lowest id, or null if it has none.
   const turn_ledger::TurnReplica* replica() const {
     return replicas_.empty() ? nullptr : replicas_.begin()->second.get();
   }
-  /// A peer's message came.
   void OnFrame(const std::string& payload);
 
  private:
   void OpenDisk();
   Result<void> LoadDisk();
-  void SetDamagedLogAside();
+  void QuarantineDamagedLog();
   turn_ledger::TurnReplica& StartReplica(GroupId group, consensus::RestoredState restored);
   std::optional<consensus::Entry> ReadStored(GroupId group, consensus::EntryId entry);
   turn_ledger::TurnReplica* Find(GroupId group);
   void Tick(absl::Time now);
-  /// Stores, sends and applies whatever the replica has to do.
-  void Settle();
-  bool SettleOnce();
+  /// Stores, sends and applies until no replica has pending work.
+  void ProcessReady();
+  /// One pass over all replicas. @return false when the disk failed.
+  bool ProcessReadyOnce();
   /// Writes with one sync. @return false when the disk failed.
   bool Store(const std::vector<storage::GroupWrite>& writes);
-  /// Stores the next part of a snapshot under way, if there is one.
+  /// Stores the next part of the replica's snapshot in progress, if any.
   void StoreSnapshotStep(GroupId group, turn_ledger::TurnReplica& replica);
-  /// Refuses new reservations while this process is near its limit of memory.
-  void WatchMemory();
-  /// Sends the next parts of snapshots to other members.
+  /// Makes the replicas refuse new reservations while this process is near its memory limit.
+  void CheckMemory();
+  /// Sends the next parts of snapshots to other group members.
   void SendTransfers(GroupId group, turn_ledger::TurnReplica& replica);
   void OnStagedEntries(GroupId group, const consensus::StagedEntries& staged);
   void OnDiskFailed(const std::string& detail);
@@ -82,30 +82,30 @@
                  wire::Layout layout);
   void OnChainRequest(const wire::Endpoint& from, const turn_ledger::chain_request& request);
   void OnHello(const turn_ledger::Hello& hello);
-  void OnDead(const wire::Endpoint& peer);
-  void NoteMachine(const turn_ledger::Machine& machine, bool heard_now);
-  /// @return the time between two greetings: the more machines, the longer.
-  absl::Duration HelloPause() const;
-  void SayHello();
+  void OnPeerDown(const wire::Endpoint& peer);
+  void UpdateMachine(const turn_ledger::Machine& machine, bool heard_directly);
+  /// @return the time between two hellos, which grows with the number of known machines.
+  absl::Duration HelloInterval() const;
+  void SendHello();
   void SendRaft(GroupId group, const consensus::Outbound& outbound);
-  /// True when the others hear of this machine by the log's messages.
-  bool HeardAnyway();
+  /// @return whether log messages already show all peers that this machine is alive.
+  bool HelloIsRedundant();
 
   void OnDirectoryChange(const store::StoreChange& change);
-  /// The operator wants these machines emptied.
-  void OnRetiring(const std::vector<std::string>& machines);
+  /// Receives the machines that the operator wants retired.
+  void OnRetiringMachines(const std::vector<std::string>& machines);
   async_http::Task<void> Register();
-  async_http::Task<void> FoundWhenPossible();
-  void FoundFromRecord();
+  async_http::Task<void> BootstrapGroups();
+  void StartRecordedGroups();
 
-  void LogLeadership(GroupId group, const turn_ledger::TurnReplica& replica);
-  /// Tells once that a replica can't read what a later build left.
-  void LogUnreadable(GroupId group, const turn_ledger::TurnReplica& replica);
+  void LogReplicaRole(GroupId group, const turn_ledger::TurnReplica& replica);
+  /// Logs once that a replica can't read an entry written by a later build.
+  void LogHaltedReplica(GroupId group, const turn_ledger::TurnReplica& replica);
   void LogProgress(GroupId group, const turn_ledger::TurnReplica& replica);
   void LogWork();
   turn_ledger::Machine Self() const;
 
-  /// What was logged last of a replica's part in its group.
+  /// The state of a replica that was logged last.
   struct LoggedRole {
     consensus::Role role = consensus::Role::kFollower;
     consensus::Term term = 0;
@@ -122,10 +122,10 @@
   wire::Transport transport_;
   peer_link link_;
   store::PrefixMirror directory_;
-  founders_record founders_;
-  machine_emptying emptying_;
-  kept_copies copies_;
-  PeerBook peers_;
+  group_layout_record layout_record_;
+  machine_retirement retirement_;
+  persisted_mirrors persisted_mirrors_;
+  PeerRegistry peers_;
   Ticker ticker_;
 
   NodeId identity_;
@@ -134,14 +134,14 @@
   bool stopping_ = false;
   absl::Time stop_deadline_;
   absl::Time next_hello_;
-  absl::Time next_flush_;
-  absl::Time next_progress_;
+  absl::Time next_log_flush_;
+  absl::Time next_progress_log_;
   std::map<GroupId, std::optional<LoggedRole>> logged_roles_;
-  std::set<GroupId> halted_;  ///< Groups whose replica was told to be unreadable.
+  std::set<GroupId> halted_groups_;  ///< Groups whose replica was logged as unreadable.
   std::uint64_t synced_writes_ = 0;
-  work_account work_;
+  work_stats work_stats_;
   memory_guard memory_;
-  absl::Time next_memory_look_;
+  absl::Time next_memory_check_;
   Random random_;
 };
 
--- a/src/roles/ticker.h
+++ b/src/roles/ticker.h
@@ -1,4 +1,4 @@
-// Calls a role's housekeeping at regular times and tells when the process stood still.
+// Runs a role's housekeeping periodically and logs stalls of the process.
 #pragma once
 
 #include <functional>
@@ -11,7 +11,7 @@
 
 class Ticker {
  public:
-  /// @param on_tick receives the time, by the steady clock.
+  /// @param on_tick receives the steady clock's time.
   Ticker(wire::EventLoop& loop, absl::Duration period, event_log::EventLog& log,
          std::function<void(absl::Time now)> on_tick);
   /// Runs until the loop ends.
@@ -24,7 +24,7 @@
   absl::Duration period_;
   event_log::EventLog& log_;
   std::function<void(absl::Time now)> on_tick_;
-  absl::Time last_;
+  absl::Time last_tick_;
 };
 
 }  // namespace martenyard::roles
