--- a/src/aggregation/aggregator.cc
+++ b/src/aggregation/aggregator.cc
@@ -12,10 +12,10 @@
       m_random(seed),
       m_zone_loads(options.m_lifetime),
       m_other_loads(options.m_lifetime),
-      m_zone_news(options.m_most_placements),
-      m_other_news(options.m_most_placements),
-      m_all_news(options.m_most_placements),
-      m_interval(options.m_least_interval)
+      m_zone_updates(options.m_max_placements),
+      m_other_updates(options.m_max_placements),
+      m_all_updates(options.m_max_placements),
+      m_digest_interval(options.m_min_interval)
 {
 }
 
@@ -27,11 +27,11 @@
                                {
                                    return (entry.second.m_contact.m_zone == m_self.m_zone) == is_own;
                                });
-    std::size_t most = is_own ? m_options.m_most_members : m_options.m_most_foreign;
-    return static_cast<std::size_t>(taken) < most;
+    std::size_t max_count = is_own ? m_options.m_max_members : m_options.m_max_foreign;
+    return static_cast<std::size_t>(taken) < max_count;
 }
 
-void aggregator::take(instant now, const member_report& report)
+void aggregator::handle(instant now, const member_report& report)
 {
     const std::string& name = report.m_from.m_name;
     auto known = m_members.find(name);
@@ -45,73 +45,74 @@
     }
     member& gateway = known->second;
     gateway.m_contact = report.m_from;
-    gateway.m_heard = now;
-    gateway.m_changes = report.m_changes;
+    gateway.m_last_seen = now;
+    gateway.m_revisions = report.m_revisions;
     gateway.m_primary = report.m_primary;
-    gateway.m_ledger_silent = report.m_ledger_silent;
-    m_zone_loads.take(now, name, report.m_loads);
-    m_zone_news.note(report.m_loads, report.m_placements);
-    m_all_news.note(report.m_loads, report.m_placements);
+    gateway.m_ledger_unreachable = report.m_ledger_unreachable;
+    m_zone_loads.update(now, name, report.m_loads);
+    m_zone_updates.record(report.m_loads, report.m_placements);
+    m_all_updates.record(report.m_loads, report.m_placements);
 }
 
-void aggregator::set_speaks(instant now, bool speaks)
+void aggregator::set_representative(instant now, bool is_representative)
 {
-    if (speaks && !m_speaks)
+    if (is_representative && !m_is_representative)
     {
         m_zones.erase(m_self.m_zone);
-        m_other_loads.take(now, m_self.m_zone, {});
+        m_other_loads.update(now, m_self.m_zone, {});
         // What came before was told by the aggregator that spoke then.
-        m_zone_news = pending_news(m_options.m_most_placements);
-        m_other_news = pending_news(m_options.m_most_placements);
+        m_zone_updates = pending_updates(m_options.m_max_placements);
+        m_other_updates = pending_updates(m_options.m_max_placements);
     }
-    m_speaks = speaks;
+    m_is_representative = is_representative;
 }
 
-bool aggregator::counts(instant now, const std::string& zone) const
+bool aggregator::accepts_summary_of(instant now, const std::string& zone) const
 {
     if (zone == m_self.m_zone)
     {
-        return !m_speaks;
+        return !m_is_representative;
     }
     auto relayed = m_zones.find(m_self.m_zone);
-    bool is_relayed = relayed != m_zones.end() && now - relayed->second.m_heard < m_options.m_source_patience;
-    return m_speaks || !is_relayed;
+    bool is_relayed =
+        relayed != m_zones.end() && now - relayed->second.m_last_seen < m_options.m_source_timeout;
+    return m_is_representative || !is_relayed;
 }
 
-void aggregator::take(instant now, const zone_summary& summary)
+void aggregator::handle(instant now, const zone_summary& summary)
 {
-    if (!counts(now, summary.m_from.m_zone))
+    if (!accepts_summary_of(now, summary.m_from.m_zone))
     {
         return;
     }
-    other_zone& zone = m_zones[summary.m_from.m_zone];
+    zone_state& zone = m_zones[summary.m_from.m_zone];
     bool is_source = zone.m_source.empty() || zone.m_source == summary.m_from.m_name;
-    if (!is_source && now - zone.m_heard < m_options.m_source_patience)
+    if (!is_source && now - zone.m_last_seen < m_options.m_source_timeout)
     {
         return;
     }
     zone = {now, summary.m_from.m_name, summary.m_gateways, summary.m_without_ledger};
-    forget_contained(now, summary.m_from.m_zone);
-    m_other_loads.take(now, summary.m_from.m_zone, summary.m_loads);
-    m_other_news.note(summary.m_loads, summary.m_placements);
-    m_all_news.note(summary.m_loads, summary.m_placements);
+    drop_superseded(now, summary.m_from.m_zone);
+    m_other_loads.update(now, summary.m_from.m_zone, summary.m_loads);
+    m_other_updates.record(summary.m_loads, summary.m_placements);
+    m_all_updates.record(summary.m_loads, summary.m_placements);
 }
 
-void aggregator::forget_contained(instant now, const std::string& zone)
+void aggregator::drop_superseded(instant now, const std::string& zone)
 {
     // Told on by this zone's speaker are all other zones' sums at once: each kind contains the other.
-    bool is_told_on = zone == m_self.m_zone;
+    bool from_relay = zone == m_self.m_zone;
     for (const auto& [name, other] : m_zones)
     {
-        if ((name == m_self.m_zone) != is_told_on)
+        if ((name == m_self.m_zone) != from_relay)
         {
-            m_other_loads.take(now, name, {});
+            m_other_loads.update(now, name, {});
         }
     }
     std::erase_if(m_zones,
                   [&](const auto& entry)
                   {
-                      return (entry.first == m_self.m_zone) != is_told_on;
+                      return (entry.first == m_self.m_zone) != from_relay;
                   });
 }
 
@@ -124,22 +125,22 @@
                   {
                       // Another zone's gateway goes back to its own aggregators.
                       bool is_own = entry.second.m_contact.m_zone == m_self.m_zone;
-                      auto remembered = is_own ? m_options.m_remembered : m_options.m_lifetime;
-                      return now - entry.second.m_heard > remembered;
+                      auto retention = is_own ? m_options.m_retention : m_options.m_lifetime;
+                      return now - entry.second.m_last_seen > retention;
                   });
     std::erase_if(m_zones,
                   [&](const auto& entry)
                   {
-                      return now - entry.second.m_heard > m_options.m_lifetime;
+                      return now - entry.second.m_last_seen > m_options.m_lifetime;
                   });
 }
 
 bool aggregator::is_live(instant now, const member& gateway) const
 {
-    return now - gateway.m_heard <= m_options.m_lifetime;
+    return now - gateway.m_last_seen <= m_options.m_lifetime;
 }
 
-bool aggregator::hears(instant now, const std::string& name) const
+bool aggregator::has_live_member(instant now, const std::string& name) const
 {
     auto found = m_members.find(name);
     return found != m_members.end() && is_live(now, found->second);
@@ -156,7 +157,7 @@
                                                     }));
 }
 
-std::uint32_t aggregator::gateways(instant now) const
+std::uint32_t aggregator::gateway_count(instant now) const
 {
     std::uint32_t count = count_members(now,
                                         [](const member&)
@@ -165,7 +166,7 @@
                                         });
     for (const auto& [name, zone] : m_zones)
     {
-        count += now - zone.m_heard <= m_options.m_lifetime ? zone.m_gateways : 0;
+        count += now - zone.m_last_seen <= m_options.m_lifetime ? zone.m_gateways : 0;
     }
     return count;
 }
@@ -182,12 +183,12 @@
     summary.m_without_ledger = count_members(now,
                                              [](const member& gateway)
                                              {
-                                                 return gateway.m_ledger_silent;
+                                                 return gateway.m_ledger_unreachable;
                                              });
     absl::flat_hash_map<std::uint32_t, std::uint32_t> active;
     m_zone_loads.add_to(active);
-    summary.m_loads = m_zone_news.take_loads(active);
-    summary.m_placements = m_zone_news.take_placements();
+    summary.m_loads = m_zone_updates.take_loads(active);
+    summary.m_placements = m_zone_updates.take_placements();
     summary.m_with_ledger = pick_with_ledger(now);
     return summary;
 }
@@ -199,14 +200,14 @@
     for (const auto& [name, zone] : m_zones)
     {
         // What an aggregator of this zone told on isn't told on again.
-        bool live = now - zone.m_heard <= m_options.m_lifetime && name != m_self.m_zone;
+        bool live = now - zone.m_last_seen <= m_options.m_lifetime && name != m_self.m_zone;
         summary.m_gateways += live ? zone.m_gateways : 0;
         summary.m_without_ledger += live ? zone.m_without_ledger : 0;
     }
     absl::flat_hash_map<std::uint32_t, std::uint32_t> active;
     m_other_loads.add_to(active);
-    summary.m_loads = m_other_news.take_loads(active);
-    summary.m_placements = m_other_news.take_placements();
+    summary.m_loads = m_other_updates.take_loads(active);
+    summary.m_placements = m_other_updates.take_placements();
     return summary;
 }
 
@@ -215,64 +216,64 @@
     std::vector<wire::Endpoint> candidates;
     for (const auto& [name, gateway] : m_members)
     {
-        if (is_live(now, gateway) && !gateway.m_ledger_silent)
+        if (is_live(now, gateway) && !gateway.m_ledger_unreachable)
         {
             candidates.push_back(gateway.m_contact.m_endpoint);
         }
     }
     std::vector<wire::Endpoint> picked;
     std::sample(candidates.begin(), candidates.end(), std::back_inserter(picked),
-                m_options.m_named_with_ledger, m_random.engine());
+                m_options.m_listed_with_ledger, m_random.engine());
     return picked;
 }
 
-digest aggregator::make_head(instant now)
+digest aggregator::make_header(instant now)
 {
-    digest told;
-    told.m_from = m_self;
-    told.m_gateways = gateways(now);
-    told.m_without_ledger = count_members(now,
-                                          [](const member& gateway)
-                                          {
-                                              return gateway.m_ledger_silent;
-                                          });
+    digest result;
+    result.m_from = m_self;
+    result.m_gateways = gateway_count(now);
+    result.m_without_ledger = count_members(now,
+                                            [](const member& gateway)
+                                            {
+                                                return gateway.m_ledger_unreachable;
+                                            });
     for (const auto& [name, zone] : m_zones)
     {
-        told.m_without_ledger += now - zone.m_heard <= m_options.m_lifetime ? zone.m_without_ledger : 0;
+        result.m_without_ledger += now - zone.m_last_seen <= m_options.m_lifetime ? zone.m_without_ledger : 0;
     }
-    told.m_with_ledger = pick_with_ledger(now);
-    return told;
+    result.m_with_ledger = pick_with_ledger(now);
+    return result;
 }
 
 digest aggregator::make_digest(instant now)
 {
-    digest told = make_head(now);
-    told.m_full = true;
+    digest result = make_header(now);
+    result.m_full = true;
     absl::flat_hash_map<std::uint32_t, std::uint32_t> active;
     m_zone_loads.add_to(active);
     m_other_loads.add_to(active);
-    told.m_loads = m_all_news.take_loads(active);
-    told.m_placements = m_all_news.take_placements();
-    return told;
+    result.m_loads = m_all_updates.take_loads(active);
+    result.m_placements = m_all_updates.take_placements();
+    return result;
 }
 
 digest aggregator::make_short_digest(instant now)
 {
-    return make_head(now);
+    return make_header(now);
 }
 
 bool aggregator::digest_is_due(instant now) const
 {
-    return now - m_digest_sent >= m_interval;
+    return now - m_digest_sent >= m_digest_interval;
 }
 
-void aggregator::note_digest_sent(instant now, std::size_t bytes)
+void aggregator::record_digest_sent(instant now, std::size_t bytes)
 {
     using std::chrono::milliseconds;
-    constexpr std::size_t milliseconds_a_second = 1000;
+    constexpr std::size_t milliseconds_per_second = 1000;
     m_digest_sent = now;
-    milliseconds by_bytes(bytes * milliseconds_a_second / m_options.m_digest_bytes_per_second);
-    m_interval = std::max(m_options.m_least_interval, by_bytes);
+    milliseconds by_size(bytes * milliseconds_per_second / m_options.m_digest_bytes_per_second);
+    m_digest_interval = std::max(m_options.m_min_interval, by_size);
 }
 
 std::vector<wire::Endpoint> aggregator::primary_members(instant now) const
@@ -293,9 +294,9 @@
     std::vector<wire::Endpoint> endpoints;
     for (auto& [name, gateway] : m_members)
     {
-        bool gets_full = gateway.m_primary && is_live(now, gateway);
+        bool gets_full_digest = gateway.m_primary && is_live(now, gateway);
         bool due = now - gateway.m_short_digest_sent >= m_options.m_short_interval;
-        if (!gets_full && due && name != m_self.m_name)
+        if (!gets_full_digest && due && name != m_self.m_name)
         {
             gateway.m_short_digest_sent = now;
             endpoints.push_back(gateway.m_contact.m_endpoint);
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -28,33 +28,33 @@
     std::chrono::milliseconds m_lifetime{1600};
     /// a gateway silent for this long is forgotten; until then it gets short digests, so that it finds
     /// its aggregators also when it restarts while the store turns it away
-    std::chrono::milliseconds m_remembered{60000};
+    std::chrono::milliseconds m_retention{60000};
     /// gateways of the zone that are taken; a larger zone needs more aggregators
-    std::size_t m_most_members = 128;
+    std::size_t m_max_members = 128;
     /// gateways of other zones that are taken besides, while their own aggregators are lost
-    std::size_t m_most_foreign = 32;
+    std::size_t m_max_foreign = 32;
     /// placements passed on in one message: 64 of 16 bytes keep it below a packet
-    std::size_t m_most_placements = 64;
+    std::size_t m_max_placements = 64;
     /// bytes a second of full digests to one gateway: two thirds of the 12 KB/s that control may use
     std::size_t m_digest_bytes_per_second = 8000;
     /// between full digests at least
-    std::chrono::milliseconds m_least_interval{100};
+    std::chrono::milliseconds m_min_interval{100};
     /// between short digests to a gateway that goes by another aggregator's
     std::chrono::milliseconds m_short_interval{500};
     /// after this time without the summary that was taken, another aggregator's of the zone is
-    std::chrono::milliseconds m_source_patience{500};
+    std::chrono::milliseconds m_source_timeout{500};
     /// gateways named in a digest as ones that reach the ledger
-    std::size_t m_named_with_ledger = 4;
+    std::size_t m_listed_with_ledger = 4;
 };
 
 /// @brief a gateway that reports to this aggregator
 struct member
 {
     contact m_contact;
-    instant m_heard;
-    known_changes m_changes{};
+    instant m_last_seen;
+    mirror_revisions m_revisions{};
     bool m_primary = false;
-    bool m_ledger_silent = false;
+    bool m_ledger_unreachable = false;
     instant m_short_digest_sent;
 };
 
@@ -65,15 +65,15 @@
     aggregator(contact self, std::uint64_t seed, const aggregator_options& options = {});
 
     /// @brief a gateway of the zone, or one whose own aggregators are gone, told what it does
-    void take(instant now, const member_report& report);
+    void handle(instant now, const member_report& report);
 
     /// @brief an aggregator of another zone told its zone's sums, or one of this zone told on those of
     ///        all others
-    void take(instant now, const zone_summary& summary);
+    void handle(instant now, const zone_summary& summary);
 
     /// @brief whether this aggregator exchanges sums with other zones for its own; if not, it goes by
     ///        what the one that does tells on
-    void set_speaks(instant now, bool speaks);
+    void set_representative(instant now, bool is_representative);
 
     /// @brief forgets who fell silent
     void expire(instant now);
@@ -95,7 +95,7 @@
     bool digest_is_due(instant now) const;
 
     /// @brief a full digest of this size was sent
-    void note_digest_sent(instant now, std::size_t bytes);
+    void record_digest_sent(instant now, std::size_t bytes);
 
     /// @return where the gateways are that go by this aggregator's full digests
     std::vector<wire::Endpoint> primary_members(instant now) const;
@@ -112,16 +112,16 @@
     bool is_live(instant now, const member& gateway) const;
 
     /// @return whether a gateway was heard lately
-    bool hears(instant now, const std::string& name) const;
+    bool has_live_member(instant now, const std::string& name) const;
 
     /// @return gateways of all zones that were heard of lately, this one included
-    std::uint32_t gateways(instant now) const;
+    std::uint32_t gateway_count(instant now) const;
 
   private:
     /// What one zone's aggregators told last.
-    struct other_zone
+    struct zone_state
     {
-        instant m_heard;
+        instant m_last_seen;
         /// the aggregator whose counts are taken: several tell the same
         std::string m_source;
         std::uint32_t m_gateways = 0;
@@ -131,28 +131,28 @@
     /// @return whether a gateway that reports for the first time can be taken
     bool has_room_for(const contact& gateway) const;
     /// @return whether the sums of this other zone count, or what an aggregator of this zone told on
-    bool counts(instant now, const std::string& zone) const;
+    bool accepts_summary_of(instant now, const std::string& zone) const;
     /// @brief this zone's sums were taken: drops those of the other kind, told on or the zones' own,
     ///        which the taken ones contain
-    void forget_contained(instant now, const std::string& zone);
+    void drop_superseded(instant now, const std::string& zone);
     template <typename Predicate>
     std::uint32_t count_members(instant now, Predicate predicate) const;
     std::vector<wire::Endpoint> pick_with_ledger(instant now);
-    digest make_head(instant now);
+    digest make_header(instant now);
 
     contact m_self;
     aggregator_options m_options;
     Random m_random;
     std::map<std::string, member> m_members;
-    std::map<std::string, other_zone> m_zones;
+    std::map<std::string, zone_state> m_zones;
     load_sums m_zone_loads;
     load_sums m_other_loads;
-    pending_news m_zone_news;
-    pending_news m_other_news;
-    pending_news m_all_news;
-    bool m_speaks = false;
+    pending_updates m_zone_updates;
+    pending_updates m_other_updates;
+    pending_updates m_all_updates;
+    bool m_is_representative = false;
     instant m_digest_sent;
-    std::chrono::milliseconds m_interval;
+    std::chrono::milliseconds m_digest_interval;
 };
 
 }  // namespace martenyard::aggregation
--- a/src/aggregation/load_sums.cc
+++ b/src/aggregation/load_sums.cc
@@ -24,19 +24,19 @@
 {
 }
 
-void load_sums::take(instant now, const std::string& source, std::vector<runner_load> loads)
+void load_sums::update(instant now, const std::string& source, std::vector<runner_load> loads)
 {
-    heard_source& heard = m_sources[source];
-    add(heard.m_loads, -1);
-    heard = {now, std::move(loads)};
-    add(heard.m_loads, 1);
+    source_state& state = m_sources[source];
+    add(state.m_loads, -1);
+    state = {now, std::move(loads)};
+    add(state.m_loads, 1);
 }
 
 void load_sums::expire(instant now)
 {
     for (auto source = m_sources.begin(); source != m_sources.end();)
     {
-        if (now - source->second.m_at <= m_lifetime)
+        if (now - source->second.m_received_at <= m_lifetime)
         {
             ++source;
             continue;
@@ -70,11 +70,11 @@
     }
 }
 
-pending_news::pending_news(std::size_t most_placements) : m_most_placements(most_placements)
+pending_updates::pending_updates(std::size_t max_placements) : m_max_placements(max_placements)
 {
 }
 
-void pending_news::note(const std::vector<runner_load>& loads, const std::vector<placement>& placements)
+void pending_updates::record(const std::vector<runner_load>& loads, const std::vector<placement>& placements)
 {
     for (const runner_load& load : loads)
     {
@@ -85,14 +85,14 @@
             pending.m_lost += load.m_lost;
         }
     }
-    std::size_t room = m_most_placements - std::min(m_most_placements, m_placements.size());
+    std::size_t room = m_max_placements - std::min(m_max_placements, m_placements.size());
     std::size_t taken = std::min(room, placements.size());
     m_dropped += placements.size() - taken;
     m_placements.insert(m_placements.end(), placements.begin(),
                         placements.begin() + static_cast<std::ptrdiff_t>(taken));
 }
 
-std::vector<runner_load> pending_news::take_loads(
+std::vector<runner_load> pending_updates::take_loads(
     const absl::flat_hash_map<std::uint32_t, std::uint32_t>& active)
 {
     std::vector<runner_load> loads;
@@ -122,7 +122,7 @@
     return loads;
 }
 
-std::vector<placement> pending_news::take_placements()
+std::vector<placement> pending_updates::take_placements()
 {
     return std::exchange(m_placements, {});
 }
--- a/src/aggregation/load_sums.h
+++ b/src/aggregation/load_sums.h
@@ -24,7 +24,7 @@
     explicit load_sums(std::chrono::milliseconds lifetime);
 
     /// @brief replaces what the source said before
-    void take(instant now, const std::string& source, std::vector<runner_load> loads);
+    void update(instant now, const std::string& source, std::vector<runner_load> loads);
 
     /// @brief forgets sources that fell silent
     void expire(instant now);
@@ -33,27 +33,27 @@
     void add_to(absl::flat_hash_map<std::uint32_t, std::uint32_t>& active) const;
 
   private:
-    struct heard_source
+    struct source_state
     {
-        instant m_at;
+        instant m_received_at;
         std::vector<runner_load> m_loads;
     };
 
     void add(const std::vector<runner_load>& loads, int sign);
 
     std::chrono::milliseconds m_lifetime;
-    std::map<std::string, heard_source> m_sources;
+    std::map<std::string, source_state> m_sources;
     absl::flat_hash_map<std::uint32_t, std::int64_t> m_active;
 };
 
 /// @brief what became of requests since the last message, and where prompts were read; each is told once
-class pending_news
+class pending_updates
 {
   public:
     /// @param[in] most_placements  those beyond are dropped: they only save an engine some reading
-    explicit pending_news(std::size_t most_placements);
+    explicit pending_updates(std::size_t max_placements);
 
-    void note(const std::vector<runner_load>& loads, const std::vector<placement>& placements);
+    void record(const std::vector<runner_load>& loads, const std::vector<placement>& placements);
 
     /// @brief moves what is pending into the loads of a message, as much as its small counters hold
     /// @param[in] active  requests under way by runner
@@ -74,7 +74,7 @@
         std::uint32_t m_lost = 0;
     };
 
-    std::size_t m_most_placements;
+    std::size_t m_max_placements;
     absl::flat_hash_map<std::uint32_t, outcomes> m_outcomes;
     std::vector<placement> m_placements;
     std::uint64_t m_dropped = 0;
--- a/src/aggregation/member_view.cc
+++ b/src/aggregation/member_view.cc
@@ -11,11 +11,11 @@
 {
 
 /// takes the same off both
-std::uint8_t take_echo(std::uint8_t told, std::uint32_t& reported)
+std::uint8_t subtract_echo(std::uint8_t total, std::uint32_t& reported)
 {
-    auto own = static_cast<std::uint8_t>(std::min<std::uint32_t>(told, reported));
+    auto own = static_cast<std::uint8_t>(std::min<std::uint32_t>(total, reported));
     reported -= own;
-    return static_cast<std::uint8_t>(told - own);
+    return static_cast<std::uint8_t>(total - own);
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
             if (taken.m_holder && taken.m_holder->m_name != m_self.m_name)
             {
                 m_aggregators.push_back(*taken.m_holder);
-                m_introduced.erase(taken.m_holder->m_name);
+                m_unlisted.erase(taken.m_holder->m_name);
             }
         }
     }
@@ -53,8 +53,8 @@
 
 bool member_view::is_lost(instant now, const std::string& name) const
 {
-    auto heard = m_heard.find(name);
-    return heard == m_heard.end() || now - heard->second > m_options.m_lost_after;
+    auto seen = m_last_seen.find(name);
+    return seen == m_last_seen.end() || now - seen->second > m_options.m_lost_timeout;
 }
 
 std::vector<contact> member_view::own_aggregators() const
@@ -67,7 +67,7 @@
             own.push_back(aggregator);
         }
     }
-    for (const auto& [name, aggregator] : m_introduced)
+    for (const auto& [name, aggregator] : m_unlisted)
     {
         if (aggregator.m_zone == m_self.m_zone)
         {
@@ -97,8 +97,8 @@
     candidates.insert(candidates.end(), foreign.begin(), foreign.end());
     for (const contact& aggregator : candidates)
     {
-        auto heard = m_heard.find(aggregator.m_name);
-        if (heard != m_heard.end() && now - heard->second <= m_options.m_primary_patience)
+        auto seen = m_last_seen.find(aggregator.m_name);
+        if (seen != m_last_seen.end() && now - seen->second <= m_options.m_primary_timeout)
         {
             return aggregator;
         }
@@ -106,7 +106,7 @@
     return candidates.empty() ? std::nullopt : std::make_optional(candidates.front());
 }
 
-std::vector<report_target> member_view::targets(instant now) const
+std::vector<report_target> member_view::report_targets(instant now) const
 {
     std::vector<contact> aggregators = own_aggregators();
     bool own_are_lost = std::all_of(aggregators.begin(), aggregators.end(),
@@ -114,13 +114,13 @@
                                     {
                                         return is_lost(now, aggregator.m_name);
                                     });
-    if (own_are_lost && !m_aggregates)
+    if (own_are_lost && !m_is_aggregator)
     {
         std::vector<contact> foreign = foreign_aggregators();
-        foreign.resize(std::min(foreign.size(), m_options.m_foreign_targets));
+        foreign.resize(std::min(foreign.size(), m_options.m_max_foreign_targets));
         aggregators.insert(aggregators.end(), foreign.begin(), foreign.end());
     }
-    std::optional<contact> chosen = m_aggregates ? std::nullopt : primary(now);
+    std::optional<contact> chosen = m_is_aggregator ? std::nullopt : primary(now);
     std::vector<report_target> targets;
     for (const contact& aggregator : aggregators)
     {
@@ -129,91 +129,91 @@
     return targets;
 }
 
-void member_view::note_heard(instant now, const std::string& name)
+void member_view::record_seen(instant now, const std::string& name)
 {
-    m_heard[name] = now;
+    m_last_seen[name] = now;
     auto is_old = [&](const auto& entry)
     {
-        return now - entry.second > m_options.m_forgotten_after;
+        return now - entry.second > m_options.m_retention;
     };
-    std::erase_if(m_heard, is_old);
-    std::erase_if(m_told_contact, is_old);
-    std::erase_if(m_zone_contact,
+    std::erase_if(m_last_seen, is_old);
+    std::erase_if(m_store_reports, is_old);
+    std::erase_if(m_zone_store_reports,
                   [&](const auto& entry)
                   {
-                      return now - entry.second.m_at > m_options.m_forgotten_after;
+                      return now - entry.second.m_received_at > m_options.m_retention;
                   });
 }
 
-bool member_view::take(instant now, const digest& told)
+bool member_view::handle(instant now, const digest& received)
 {
-    const std::string& name = told.m_from.m_name;
-    note_heard(now, name);
+    const std::string& name = received.m_from.m_name;
+    record_seen(now, name);
     // A denial counts at once: others begin to watch only when nobody is taken to be in contact any more.
-    if (told.m_in_contact)
+    if (received.m_store_reachable)
     {
-        m_told_contact[name] = now;
+        m_store_reports[name] = now;
     }
     else
     {
-        m_told_contact.erase(name);
+        m_store_reports.erase(name);
     }
     bool known = std::any_of(m_aggregators.begin(), m_aggregators.end(),
                              [&](const contact& aggregator)
                              {
-                                 return aggregator == told.m_from;
+                                 return aggregator == received.m_from;
                              });
     if (!known)
     {
-        m_introduced[name] = told.m_from;
+        m_unlisted[name] = received.m_from;
     }
-    std::erase_if(m_introduced,
+    std::erase_if(m_unlisted,
                   [&](const auto& entry)
                   {
                       return is_lost(now, entry.first);
                   });
-    take_with_ledger(now, told.m_with_ledger);
-    if (m_aggregates)
+    update_with_ledger(now, received.m_with_ledger);
+    if (m_is_aggregator)
     {
         return false;
     }
-    take_counts(now, told.m_gateways, told.m_without_ledger);
+    set_counts(now, received.m_gateways, received.m_without_ledger);
     std::optional<contact> chosen = primary(now);
-    return told.m_full && chosen && chosen->m_name == name;
+    return received.m_full && chosen && chosen->m_name == name;
 }
 
-void member_view::take(instant now, const zone_summary& told)
+void member_view::handle(instant now, const zone_summary& summary)
 {
-    note_heard(now, told.m_from.m_name);
-    if (told.m_in_contact)
+    record_seen(now, summary.m_from.m_name);
+    if (summary.m_store_reachable)
     {
-        m_zone_contact[told.m_from.m_name] = {told.m_from.m_zone, now};
+        m_zone_store_reports[summary.m_from.m_name] = {summary.m_from.m_zone, now};
     }
     else
     {
-        m_zone_contact.erase(told.m_from.m_name);
+        m_zone_store_reports.erase(summary.m_from.m_name);
     }
-    take_with_ledger(now, told.m_with_ledger);
+    update_with_ledger(now, summary.m_with_ledger);
 }
 
-void member_view::take_counts(instant now, std::uint32_t gateways, std::uint32_t without_ledger)
+void member_view::set_counts(instant now, std::uint32_t gateways, std::uint32_t without_ledger)
 {
     m_gateways = std::max<std::uint32_t>(1, gateways);
     m_without_ledger = without_ledger;
-    m_counted = now;
+    m_counts_received_at = now;
 }
 
-void member_view::set_aggregates(bool aggregates)
+void member_view::set_is_aggregator(bool is_aggregator)
 {
-    m_aggregates = aggregates;
+    m_is_aggregator = is_aggregator;
 }
 
-void member_view::note_reported(instant now, const std::vector<runner_load>& loads)
+void member_view::record_reported(instant now, const std::vector<runner_load>& loads)
 {
     for (auto& [runner, reported] : m_reported)
     {
         reported.m_active = 0;
-        if (now - reported.m_at > m_options.m_echo_lifetime)
+        if (now - reported.m_received_at > m_options.m_echo_lifetime)
         {
             reported.m_served = 0;
             reported.m_lost = 0;
@@ -227,7 +227,7 @@
         {
             reported.m_served += load.m_served;
             reported.m_lost += load.m_lost;
-            reported.m_at = now;
+            reported.m_received_at = now;
         }
     }
     absl::erase_if(m_reported,
@@ -238,7 +238,7 @@
                    });
 }
 
-std::vector<runner_load> member_view::without_own(const std::vector<runner_load>& loads)
+std::vector<runner_load> member_view::subtract_own(const std::vector<runner_load>& loads)
 {
     std::vector<runner_load> others = loads;
     for (runner_load& load : others)
@@ -251,87 +251,87 @@
         reported_load& reported = own->second;
         load.m_active -=
             static_cast<std::uint16_t>(std::min<std::uint32_t>(load.m_active, reported.m_active));
-        load.m_served = take_echo(load.m_served, reported.m_served);
-        load.m_lost = take_echo(load.m_lost, reported.m_lost);
+        load.m_served = subtract_echo(load.m_served, reported.m_served);
+        load.m_lost = subtract_echo(load.m_lost, reported.m_lost);
     }
     return others;
 }
 
-bool member_view::hears_anybody(instant now) const
+bool member_view::any_aggregator_alive(instant now) const
 {
-    return std::any_of(m_heard.begin(), m_heard.end(),
+    return std::any_of(m_last_seen.begin(), m_last_seen.end(),
                        [&](const auto& entry)
                        {
-                           return now - entry.second <= m_options.m_lost_after;
+                           return now - entry.second <= m_options.m_lost_timeout;
                        });
 }
 
-bool member_view::is_recent(instant now, instant said) const
+bool member_view::is_recent(instant now, instant reported_at) const
 {
-    return now - said <= m_options.m_lost_after;
+    return now - reported_at <= m_options.m_lost_timeout;
 }
 
-bool member_view::hears_contact(instant now) const
+bool member_view::any_reaches_store(instant now) const
 {
-    bool told = std::any_of(m_told_contact.begin(), m_told_contact.end(),
-                            [&](const auto& entry)
-                            {
-                                return is_recent(now, entry.second);
-                            });
-    return told || own_zone_has_contact(now) || other_zone_has_contact(now);
+    bool reported = std::any_of(m_store_reports.begin(), m_store_reports.end(),
+                                [&](const auto& entry)
+                                {
+                                    return is_recent(now, entry.second);
+                                });
+    return reported || own_zone_reaches_store(now) || other_zone_reaches_store(now);
 }
 
-bool member_view::zone_has_contact(instant now, bool own) const
+bool member_view::zone_reaches_store(instant now, bool own) const
 {
-    return std::any_of(m_zone_contact.begin(), m_zone_contact.end(),
+    return std::any_of(m_zone_store_reports.begin(), m_zone_store_reports.end(),
                        [&](const auto& entry)
                        {
                            bool is_own = entry.second.m_zone == m_self.m_zone;
-                           return is_own == own && is_recent(now, entry.second.m_at);
+                           return is_own == own && is_recent(now, entry.second.m_received_at);
                        });
 }
 
-bool member_view::other_zone_has_contact(instant now) const
+bool member_view::other_zone_reaches_store(instant now) const
 {
-    return zone_has_contact(now, /*own=*/false);
+    return zone_reaches_store(now, /*own=*/false);
 }
 
-bool member_view::own_zone_has_contact(instant now) const
+bool member_view::own_zone_reaches_store(instant now) const
 {
-    return zone_has_contact(now, /*own=*/true);
+    return zone_reaches_store(now, /*own=*/true);
 }
 
 std::uint32_t member_view::gateways_without_ledger(instant now) const
 {
-    return now - m_counted <= m_options.m_lost_after ? m_without_ledger : 0;
+    return now - m_counts_received_at <= m_options.m_lost_timeout ? m_without_ledger : 0;
 }
 
-void member_view::take_with_ledger(instant now, const std::vector<wire::Endpoint>& told)
+void member_view::update_with_ledger(instant now, const std::vector<wire::Endpoint>& endpoints)
 {
-    for (const wire::Endpoint& endpoint : told)
+    for (const wire::Endpoint& endpoint : endpoints)
     {
         std::erase_if(m_with_ledger,
-                      [&](const named_gateway& named)
+                      [&](const ledger_gateway& gateway)
                       {
-                          return named.m_endpoint == endpoint;
+                          return gateway.m_endpoint == endpoint;
                       });
         if (endpoint != m_self.m_endpoint)
         {
             m_with_ledger.push_back({now, endpoint});
         }
     }
-    std::size_t surplus = m_with_ledger.size() - std::min(m_with_ledger.size(), m_options.m_most_with_ledger);
+    std::size_t surplus = m_with_ledger.size() - std::min(m_with_ledger.size(), m_options.m_max_with_ledger);
     m_with_ledger.erase(m_with_ledger.begin(), m_with_ledger.begin() + static_cast<std::ptrdiff_t>(surplus));
 }
 
-std::vector<wire::Endpoint> member_view::with_ledger(instant now, std::size_t most) const
+std::vector<wire::Endpoint> member_view::gateways_with_ledger(instant now, std::size_t max_count) const
 {
     std::vector<wire::Endpoint> endpoints;
-    for (auto named = m_with_ledger.rbegin(); named != m_with_ledger.rend(); ++named)
+    for (auto gateway = m_with_ledger.rbegin(); gateway != m_with_ledger.rend(); ++gateway)
     {
-        if (endpoints.size() < most && now - named->m_at <= m_options.m_lost_after)
+        if (endpoints.size() < max_count && now - gateway->m_received_at <= m_options.m_lost_timeout)
         {
-            endpoints.push_back(named->m_endpoint);
+            endpoints.push_back(gateway->m_endpoint);
         }
     }
     return endpoints;
--- a/src/aggregation/messages.h
+++ b/src/aggregation/messages.h
@@ -22,7 +22,7 @@
 constexpr std::size_t mirror_count = 4;
 
 /// the revision of the last change known of each mirror's prefix
-using known_changes = std::array<std::uint64_t, mirror_count>;
+using mirror_revisions = std::array<std::uint64_t, mirror_count>;
 
 /// @brief a gateway, and where its peers reach it
 struct contact
@@ -82,11 +82,11 @@
 struct member_report
 {
     contact m_from;
-    known_changes m_changes{};
+    mirror_revisions m_revisions{};
     /// the receiver is the one whose full digests the sender goes by
     bool m_primary = false;
     /// most groups of the ledger don't answer the sender
-    bool m_ledger_silent = false;
+    bool m_ledger_unreachable = false;
     /// runners without a request of the sender are left out
     std::vector<runner_load> m_loads;
     std::vector<placement> m_placements;
@@ -94,7 +94,7 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(m_from, m_changes, m_primary, m_ledger_silent, m_loads, m_placements);
+        archive(m_from, m_revisions, m_primary, m_ledger_unreachable, m_loads, m_placements);
     }
 };
 
@@ -103,9 +103,9 @@
 struct zone_summary
 {
     contact m_from;
-    known_changes m_changes{};
+    mirror_revisions m_revisions{};
     /// the sender watches the store, and the store answered last
-    bool m_in_contact = false;
+    bool m_store_reachable = false;
     /// gateways of the zone, and those among them without the ledger
     std::uint32_t m_gateways = 0;
     std::uint32_t m_without_ledger = 0;
@@ -117,7 +117,7 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(m_from, m_changes, m_in_contact, m_gateways, m_without_ledger, m_loads, m_placements,
+        archive(m_from, m_revisions, m_store_reachable, m_gateways, m_without_ledger, m_loads, m_placements,
                 m_with_ledger);
     }
 };
@@ -126,9 +126,9 @@
 struct digest
 {
     contact m_from;
-    known_changes m_changes{};
+    mirror_revisions m_revisions{};
     /// the sender watches the store, and the store answered last
-    bool m_in_contact = false;
+    bool m_store_reachable = false;
     /// with loads and placements; without, it only tells that the sender is there and what it knows
     bool m_full = false;
     std::uint32_t m_gateways = 0;
@@ -142,8 +142,8 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(m_from, m_changes, m_in_contact, m_full, m_gateways, m_without_ledger, m_loads, m_placements,
-                m_with_ledger);
+        archive(m_from, m_revisions, m_store_reachable, m_full, m_gateways, m_without_ledger, m_loads,
+                m_placements, m_with_ledger);
     }
 };
 
@@ -153,19 +153,19 @@
     /// where the answer goes
     wire::Endpoint m_from;
     /// comes back with the answer, and tells the asker when it asked
-    std::uint64_t m_stamp = 0;
+    std::uint64_t m_timestamp = 0;
 
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(m_from, m_stamp);
+        archive(m_from, m_timestamp);
     }
 };
 
 /// @brief the answer
 struct confirmation_answer
 {
-    std::uint64_t m_stamp = 0;
+    std::uint64_t m_timestamp = 0;
     /// the revision of the configuration that is in force at the sender
     std::uint64_t m_revision = 0;
     /// how long ago that one was known to be the newest
@@ -174,7 +174,7 @@
     template <class Archive>
     void serialize(Archive& archive)
     {
-        archive(m_stamp, m_revision, m_age_ms);
+        archive(m_timestamp, m_revision, m_age_ms);
     }
 };
 
--- a/src/aggregation/slots.cc
+++ b/src/aggregation/slots.cc
@@ -7,47 +7,48 @@
 
 namespace martenyard::aggregation
 {
-std::vector<std::string> near_zones(const slot_table& table, const std::string& zone, std::size_t most)
+std::vector<std::string> neighbor_zones(const slot_table& table, const std::string& zone,
+                                        std::size_t max_count)
 {
-    std::vector<std::string> circle;
-    std::vector<std::string> before;
+    std::vector<std::string> ring;
+    std::vector<std::string> preceding;
     for (const auto& [name, slots] : table)
     {
         if (name != zone)
         {
-            (name < zone ? before : circle).push_back(name);
+            (name < zone ? preceding : ring).push_back(name);
         }
     }
-    circle.insert(circle.end(), before.begin(), before.end());
-    std::vector<std::string> near;
-    for (std::size_t pick = 0; pick < std::min(circle.size(), most); ++pick)
+    ring.insert(ring.end(), preceding.begin(), preceding.end());
+    std::vector<std::string> neighbors;
+    for (std::size_t index = 0; index < std::min(ring.size(), max_count); ++index)
     {
-        bool from_front = pick % 2 == 0;
-        near.push_back(from_front ? circle[pick / 2] : circle[circle.size() - 1 - pick / 2]);
+        bool from_front = index % 2 == 0;
+        neighbors.push_back(from_front ? ring[index / 2] : ring[ring.size() - 1 - index / 2]);
     }
-    return near;
+    return neighbors;
 }
 
-std::vector<contact> holders_of(const slot_table& table, const std::string& zone)
+std::vector<contact> slot_holders(const slot_table& table, const std::string& zone)
 {
     std::vector<contact> holders;
     auto slots = table.find(zone);
     if (slots != table.end())
     {
-        for (const auto& [number, taken] : slots->second)
+        for (const auto& [number, current] : slots->second)
         {
-            if (taken.m_holder)
+            if (current.m_holder)
             {
-                holders.push_back(*taken.m_holder);
+                holders.push_back(*current.m_holder);
             }
         }
     }
     return holders;
 }
 
-std::string teller_zone(const slot_table& table, const std::string& machine, const std::string& zone)
+std::string announcing_zone(const slot_table& table, const std::string& machine, const std::string& zone)
 {
-    if (!holders_of(table, zone).empty())
+    if (!slot_holders(table, zone).empty())
     {
         return zone;
     }
@@ -56,7 +57,7 @@
     for (const auto& [other, slots] : table)
     {
         std::uint64_t rank = StableHash(other, StableHash(machine));
-        if (!holders_of(table, other).empty() && (chosen.empty() || rank > highest))
+        if (!slot_holders(table, other).empty() && (chosen.empty() || rank > highest))
         {
             chosen = other;
             highest = rank;
@@ -65,21 +66,21 @@
     return chosen;
 }
 
-slot_claims::slot_claims(contact self, double processor_share, const slot_options& options)
+slot_claim_policy::slot_claim_policy(contact self, double processor_share, const slot_options& options)
     : m_self(std::move(self)), m_processor_share(processor_share), m_options(options)
 {
 }
 
-std::optional<std::size_t> slot_claims::held(const slot_table& table) const
+std::optional<std::size_t> slot_claim_policy::held_slot(const slot_table& table) const
 {
     auto zone = table.find(m_self.m_zone);
     if (zone == table.end())
     {
         return std::nullopt;
     }
-    for (const auto& [number, taken] : zone->second)
+    for (const auto& [number, current] : zone->second)
     {
-        if (taken.m_holder && taken.m_holder->m_name == m_self.m_name)
+        if (current.m_holder && current.m_holder->m_name == m_self.m_name)
         {
             return number;
         }
@@ -87,81 +88,84 @@
     return std::nullopt;
 }
 
-std::chrono::milliseconds slot_claims::pause(std::size_t number) const
+std::chrono::milliseconds slot_claim_policy::claim_delay(std::size_t number) const
 {
-    auto spread = static_cast<std::uint64_t>(m_options.m_spread.count());
-    std::chrono::milliseconds own(StableHash(m_self.m_name, number) % spread);
-    return m_processor_share < m_options.m_weak_share ? own + m_options.m_weak_delay : own;
+    auto jitter_range = static_cast<std::uint64_t>(m_options.m_jitter.count());
+    std::chrono::milliseconds jitter(StableHash(m_self.m_name, number) % jitter_range);
+    return m_processor_share < m_options.m_low_cpu_share ? jitter + m_options.m_low_cpu_delay : jitter;
 }
 
-bool slot_claims::hears_anybody(const view& seen) const
+bool slot_claim_policy::any_aggregator_alive(const peer_activity& activity) const
 {
-    return std::any_of(seen.m_heard->begin(), seen.m_heard->end(),
+    return std::any_of(activity.m_last_seen->begin(), activity.m_last_seen->end(),
                        [&](const auto& entry)
                        {
-                           return seen.m_now - entry.second < m_options.m_holder_patience / 2;
+                           return activity.m_now - entry.second < m_options.m_holder_timeout / 2;
                        });
 }
 
-bool slot_claims::is_due(const view& seen, const slot& taken, watched_slot& watched, std::size_t number) const
+bool slot_claim_policy::is_due(const peer_activity& activity, const slot& current, tracked_slot& tracked,
+                               std::size_t number) const
 {
-    std::string holder = taken.m_holder ? taken.m_holder->m_name : "";
-    if (!watched.m_since || watched.m_holder != holder)
+    std::string holder = current.m_holder ? current.m_holder->m_name : "";
+    if (!tracked.m_holder_since || tracked.m_holder != holder)
     {
-        watched.m_holder = holder;
-        watched.m_since = seen.m_now;
+        tracked.m_holder = holder;
+        tracked.m_holder_since = activity.m_now;
     }
-    if (!taken.m_holder)
+    if (!current.m_holder)
     {
-        return seen.m_now - *watched.m_since >= pause(number);
+        return activity.m_now - *tracked.m_holder_since >= claim_delay(number);
     }
-    auto heard = seen.m_heard->find(holder);
-    instant last =
-        heard == seen.m_heard->end() ? *watched.m_since : std::max(*watched.m_since, heard->second);
-    auto patience = hears_anybody(seen) ? m_options.m_holder_patience : m_options.m_alone_patience;
-    return seen.m_now - last >= patience + pause(number);
+    auto seen = activity.m_last_seen->find(holder);
+    instant last_seen = seen == activity.m_last_seen->end() ? *tracked.m_holder_since
+                                                            : std::max(*tracked.m_holder_since, seen->second);
+    auto timeout = any_aggregator_alive(activity) ? m_options.m_holder_timeout : m_options.m_isolated_timeout;
+    return activity.m_now - last_seen >= timeout + claim_delay(number);
 }
 
-std::optional<slot_claim> slot_claims::due(const view& seen, const slot_table& table)
+std::optional<slot_claim> slot_claim_policy::next_claim(const peer_activity& activity,
+                                                        const slot_table& table)
 {
     auto zone = table.find(m_self.m_zone);
-    if (auto own = held(table))
+    if (auto own = held_slot(table))
     {
-        const slot& taken = zone->second.at(*own);
-        bool moved = *taken.m_holder != m_self;  // It was taken from another address.
-        return moved ? std::make_optional(slot_claim{*own, taken.m_revision}) : std::nullopt;
+        const slot& current = zone->second.at(*own);
+        bool address_changed = *current.m_holder != m_self;  // It was taken from another address.
+        return address_changed ? std::make_optional(slot_claim{*own, current.m_revision}) : std::nullopt;
     }
     // One gateway that takes several slots leaves its zone with fewer aggregators for good.
-    if (m_taken && seen.m_now - *m_taken < m_options.m_retry)
+    if (m_last_claim && activity.m_now - *m_last_claim < m_options.m_retry_interval)
     {
         return std::nullopt;
     }
     for (std::size_t number = 0; number < slots_per_zone; ++number)
     {
-        slot taken;
+        slot current;
         if (zone != table.end())
         {
             auto found = zone->second.find(number);
-            taken = found == zone->second.end() ? slot{} : found->second;
+            current = found == zone->second.end() ? slot{} : found->second;
         }
-        watched_slot& watched = m_watched[number];
-        bool just_tried = watched.m_tried && seen.m_now - *watched.m_tried < m_options.m_retry;
-        if (is_due(seen, taken, watched, number) && !just_tried)
+        tracked_slot& tracked = m_tracked[number];
+        bool recently_attempted =
+            tracked.m_last_attempt && activity.m_now - *tracked.m_last_attempt < m_options.m_retry_interval;
+        if (is_due(activity, current, tracked, number) && !recently_attempted)
         {
-            return slot_claim{number, taken.m_revision};
+            return slot_claim{number, current.m_revision};
         }
     }
     return std::nullopt;
 }
 
-void slot_claims::note_tried(instant now, const slot_claim& claim)
+void slot_claim_policy::record_attempt(instant now, const slot_claim& claim)
 {
-    m_watched[claim.m_slot].m_tried = now;
+    m_tracked[claim.m_slot].m_last_attempt = now;
 }
 
-void slot_claims::note_taken(instant now)
+void slot_claim_policy::record_claim(instant now)
 {
-    m_taken = now;
+    m_last_claim = now;
 }
 
 }  // namespace martenyard::aggregation
--- a/src/aggregation/slots.h
+++ b/src/aggregation/slots.h
@@ -44,24 +44,25 @@
 
 /// @return the zones that `zone` exchanges sums with: the next ones on both sides in the circle of names.
 ///         News of the store reach all others through them
-std::vector<std::string> near_zones(const slot_table& table, const std::string& zone, std::size_t most);
+std::vector<std::string> neighbor_zones(const slot_table& table, const std::string& zone,
+                                        std::size_t max_count);
 
 /// @return a zone's aggregators, in the order of their slots
-std::vector<contact> holders_of(const slot_table& table, const std::string& zone);
+std::vector<contact> slot_holders(const slot_table& table, const std::string& zone);
 
 /// @return the zone whose gateways tell a storage machine what the store has: its own, or where no gateway
 ///         holds a slot there, one of the others; empty if there is none
-std::string teller_zone(const slot_table& table, const std::string& machine, const std::string& zone);
+std::string announcing_zone(const slot_table& table, const std::string& machine, const std::string& zone);
 
 /// @param[in] hears  whether an aggregator was heard lately
 /// @return the zone's first aggregator that is heard, or `self` if none before it is: it watches the store
 ///         and exchanges sums with other zones for the zone
 template <typename Hears>
-contact first_heard(const slot_table& table, const contact& self, Hears hears)
+contact zone_representative(const slot_table& table, const contact& self, Hears is_alive)
 {
-    for (const contact& holder : holders_of(table, self.m_zone))
+    for (const contact& holder : slot_holders(table, self.m_zone))
     {
-        if (holder.m_name == self.m_name || hears(holder))
+        if (holder.m_name == self.m_name || is_alive(holder))
         {
             return holder;
         }
@@ -72,17 +73,17 @@
 /// @param[in] hears  whether an aggregator was heard lately
 /// @return of each near zone the aggregator that speaks for it, or all of them while none does
 template <typename Hears>
-std::vector<wire::Endpoint> summary_targets(const slot_table& table, const contact& self, Hears hears,
-                                            std::size_t most_zones)
+std::vector<wire::Endpoint> summary_targets(const slot_table& table, const contact& self, Hears is_alive,
+                                            std::size_t max_zones)
 {
     std::vector<wire::Endpoint> targets;
-    for (const std::string& zone : near_zones(table, self.m_zone, most_zones))
+    for (const std::string& zone : neighbor_zones(table, self.m_zone, max_zones))
     {
-        std::vector<contact> holders = holders_of(table, zone);
-        auto speaker = std::find_if(holders.begin(), holders.end(), hears);
-        if (speaker != holders.end())
+        std::vector<contact> holders = slot_holders(table, zone);
+        auto representative = std::find_if(holders.begin(), holders.end(), is_alive);
+        if (representative != holders.end())
         {
-            targets.push_back(speaker->m_endpoint);
+            targets.push_back(representative->m_endpoint);
             continue;
         }
         for (const contact& holder : holders)
@@ -97,67 +98,68 @@
 struct slot_options
 {
     /// machines with a smaller share of a core take a slot only after this time
-    double m_weak_share = 0.2;
-    std::chrono::milliseconds m_weak_delay{600};
+    double m_low_cpu_share = 0.2;
+    std::chrono::milliseconds m_low_cpu_delay{600};
     /// the pauses of a zone's gateways lie spread over this time. The store's answer takes some
     /// milliseconds and fifty gateways may want the slot: one in twenty milliseconds
-    std::chrono::milliseconds m_spread{1000};
+    std::chrono::milliseconds m_jitter{1000};
     /// a holder that was not heard for this long is replaced. A process restarts within a second
-    std::chrono::milliseconds m_holder_patience{4000};
+    std::chrono::milliseconds m_holder_timeout{4000};
     /// while no aggregator at all is heard, this gateway may be the one that is cut off
-    std::chrono::milliseconds m_alone_patience{10000};
+    std::chrono::milliseconds m_isolated_timeout{10000};
     /// before the same slot is tried for again
-    std::chrono::milliseconds m_retry{1500};
+    std::chrono::milliseconds m_retry_interval{1500};
 };
 
 /// @brief decides when to take a slot
-class slot_claims
+class slot_claim_policy
 {
   public:
     /// @param[in] processor_share  of one core, that the machine may use
-    slot_claims(contact self, double processor_share, const slot_options& options = {});
+    slot_claim_policy(contact self, double processor_share, const slot_options& options = {});
 
     /// @brief what the gateway hears of aggregators
-    struct view
+    struct peer_activity
     {
         instant m_now;
         /// when each aggregator was last heard, by name
-        const std::map<std::string, instant>* m_heard = nullptr;
+        const std::map<std::string, instant>* m_last_seen = nullptr;
     };
 
     /// @return the slot to take now, if any
-    std::optional<slot_claim> due(const view& seen, const slot_table& table);
+    std::optional<slot_claim> next_claim(const peer_activity& activity, const slot_table& table);
 
     /// @brief the slot was tried for; it isn't due again for a while
-    void note_tried(instant now, const slot_claim& claim);
+    void record_attempt(instant now, const slot_claim& claim);
 
     /// @brief a slot was taken, or may have been: no other one is due until the slots show it, or a while
     ///        has passed
-    void note_taken(instant now);
+    void record_claim(instant now);
 
     /// @return the slot that this gateway holds, if any
-    std::optional<std::size_t> held(const slot_table& table) const;
+    std::optional<std::size_t> held_slot(const slot_table& table) const;
 
   private:
-    struct watched_slot
+    struct tracked_slot
     {
         /// its holder's name, empty while it is vacant
         std::string m_holder;
         /// since when that has been known here: before, the holder could not be heard
-        std::optional<instant> m_since;
-        std::optional<instant> m_tried;
+        std::optional<instant> m_holder_since;
+        std::optional<instant> m_last_attempt;
     };
 
     /// @return how long this gateway waits before it takes the slot
-    std::chrono::milliseconds pause(std::size_t number) const;
-    bool is_due(const view& seen, const slot& taken, watched_slot& watched, std::size_t number) const;
-    bool hears_anybody(const view& seen) const;
+    std::chrono::milliseconds claim_delay(std::size_t number) const;
+    bool is_due(const peer_activity& activity, const slot& current, tracked_slot& tracked,
+                std::size_t number) const;
+    bool any_aggregator_alive(const peer_activity& activity) const;
 
     contact m_self;
     double m_processor_share;
     slot_options m_options;
-    std::map<std::size_t, watched_slot> m_watched;
-    std::optional<instant> m_taken;
+    std::map<std::size_t, tracked_slot> m_tracked;
+    std::optional<instant> m_last_claim;
 };
 
 }  // namespace martenyard::aggregation
--- /dev/null
+++ b/src/roles/exchange/change_sender.cc
@@ -0,0 +1,45 @@
+#include "roles/exchange/change_sender.h"
+
+#include <utility>
+
+#include "wire/codec.h"
+
+namespace martenyard::roles
+{
+
+aggregation::mirror_revisions last_revisions(const mirror_list& mirrors)
+{
+    aggregation::mirror_revisions revisions{};
+    for (std::size_t mirror = 0; mirror < mirrors.size(); ++mirror)
+    {
+        revisions[mirror] = mirrors[mirror]->last_change();
+    }
+    return revisions;
+}
+
+change_sender::change_sender(wire::Transport& transport, const mirror_list& mirrors,
+                             std::function<turn_ledger::Machine()> self)
+    : m_transport(transport), m_mirrors(mirrors), m_self(std::move(self))
+{
+}
+
+void change_sender::send(const wire::Endpoint& to, std::size_t mirror, std::uint64_t from_revision)
+{
+    if (m_transport.Unsent(to) > 0)
+    {
+        return;
+    }
+    const store::PrefixMirror& source = *m_mirrors[mirror];
+    std::uint64_t to_revision = source.last_change();
+    bool cached = m_cached && m_cached->m_mirror == mirror && m_cached->m_from_revision == from_revision &&
+                  m_cached->m_to_revision == to_revision;
+    if (!cached)
+    {
+        store::news_reply reply{static_cast<std::uint8_t>(mirror), source.ChangesSince(from_revision)};
+        m_cached = encoded_delta{mirror, from_revision, to_revision,
+                                 wire::Encode(turn_ledger::Envelope{m_self(), std::move(reply)})};
+    }
+    m_transport.SendFrame(to, m_cached->m_frame);
+}
+
+}  // namespace martenyard::roles
--- a/src/roles/exchange/lease_keeper.h
+++ b/src/roles/exchange/lease_renewer.h
@@ -26,7 +26,7 @@
 /// @brief whom a gateway may ask, and in which part it does
 struct lease_peers
 {
-    tenancy::zone_part m_part = tenancy::zone_part::member;
+    tenancy::zone_part m_role = tenancy::zone_part::member;
     /// the own zone's aggregators but this gateway, the preferred one first
     std::vector<wire::Endpoint> m_own_zone;
     std::vector<wire::Endpoint> m_other_zones;
@@ -35,23 +35,23 @@
 /// @brief counters since the start, for the metrics address
 struct lease_stats
 {
-    std::uint64_t m_store_questions = 0;
-    std::uint64_t m_peer_questions = 0;
-    std::uint64_t m_peer_answers = 0;
+    std::uint64_t m_store_requests = 0;
+    std::uint64_t m_peer_requests = 0;
+    std::uint64_t m_peer_replies = 0;
 };
 
 /// @brief on the loop's thread only
-class lease_keeper
+class lease_renewer
 {
   public:
     using send_datagram = std::function<void(const wire::Endpoint&, const aggregation::datagram&)>;
 
     /// All references must outlive the keeper.
     /// @param[in] on_held  the lease holds again: requests may wait for it
-    lease_keeper(async_http::asio::io_context& context, store::MetadataStore& store,
-                 store::PrefixMirror& configuration, tenancy::configuration_lease& lease,
-                 event_log::EventLog& log, send_datagram send, std::function<void()> on_held,
-                 std::uint64_t seed);
+    lease_renewer(async_http::asio::io_context& context, store::MetadataStore& store,
+                  store::PrefixMirror& configuration, tenancy::configuration_lease& lease,
+                  event_log::EventLog& log, send_datagram send, std::function<void()> on_valid,
+                  std::uint64_t seed);
 
     /// @param[in] length  of the lease; nothing: there is no bound, and nothing is ever asked
     /// @param[in] self    where answers go
@@ -61,10 +61,10 @@
     void tick(const lease_peers& peers);
 
     /// @brief the store answers again: it is asked at the next tick if that is due
-    void on_store_back();
+    void on_store_recovered();
 
-    void on_question(const aggregation::confirmation_question& question);
-    void on_answer(const aggregation::confirmation_answer& answer);
+    void on_request(const aggregation::confirmation_question& request);
+    void on_reply(const aggregation::confirmation_answer& reply);
 
     const lease_stats& stats() const
     {
@@ -74,10 +74,10 @@
   private:
     using instant = tenancy::instant;
 
-    async_http::Task<void> ask_store(std::string key, store::Revision revision);
-    void ask_peers(instant now, const std::vector<wire::Endpoint>& peers);
-    std::vector<wire::Endpoint> widely(const lease_peers& peers);
-    void tell_changes(instant now);
+    async_http::Task<void> request_from_store(std::string key, store::Revision revision);
+    void request_from_peers(instant now, const std::vector<wire::Endpoint>& peers);
+    std::vector<wire::Endpoint> wide_peers(const lease_peers& peers);
+    void report_state_change(instant now);
 
     async_http::asio::io_context& m_context;
     store::MetadataStore& m_store;
@@ -85,16 +85,16 @@
     tenancy::configuration_lease& m_lease;
     event_log::EventLog& m_log;
     send_datagram m_send;
-    std::function<void()> m_on_held;
+    std::function<void()> m_on_valid;
     Random m_random;
     std::optional<tenancy::confirmation_plan> m_plan;
     wire::Endpoint m_self;
     /// Questions carry the time since `m_began` on top of a number of this process's own, so that an answer
     /// to an earlier life is told apart.
-    std::uint64_t m_stamp_base = 0;
-    instant m_began;
-    bool m_asking_store = false;
-    bool m_held = false;
+    std::uint64_t m_timestamp_base = 0;
+    instant m_started_at;
+    bool m_store_request_pending = false;
+    bool m_was_valid = false;
     lease_stats m_stats;
 };
 
--- a/src/roles/exchange/member_registry.cc
+++ b/src/roles/exchange/member_registry.cc
@@ -39,25 +39,25 @@
     m_records.SetPaused(paused);
 }
 
-bool member_registry::is_written(const contact& gateway) const
+bool member_registry::is_registered(const contact& gateway) const
 {
     auto record = m_records.items().find(absl::StrCat(m_records.prefix(), gateway.m_name));
     return record != m_records.items().end() && record->second.value == wire::Encode(gateway);
 }
 
-void member_registry::write_missing(instant now, const aggregation::aggregator& sums)
+void member_registry::register_missing(instant now, const aggregation::aggregator& own_aggregator)
 {
-    bool just_written = now - m_written_at < m_options.m_write_pause;
-    if (m_writing || just_written || !m_records.complete())
+    bool recently_written = now - m_written_at < m_options.m_write_interval;
+    if (m_writing || recently_written || !m_records.complete())
     {
         return;
     }
     std::vector<contact> missing;
-    for (const auto& [name, gateway] : sums.members())
+    for (const auto& [name, gateway] : own_aggregator.members())
     {
-        bool own = gateway.m_contact.m_zone == m_zone;
-        bool due = own && sums.is_live(now, gateway) && !is_written(gateway.m_contact);
-        if (due && missing.size() < m_options.m_most_in_one_write)
+        bool in_zone = gateway.m_contact.m_zone == m_zone;
+        bool due = in_zone && own_aggregator.is_live(now, gateway) && !is_registered(gateway.m_contact);
+        if (due && missing.size() < m_options.m_max_batch_size)
         {
             missing.push_back(gateway.m_contact);
         }
@@ -66,11 +66,11 @@
     {
         m_writing = true;
         m_written_at = now;
-        async_http::asio::co_spawn(m_context, write(std::move(missing)), async_http::asio::detached);
+        async_http::asio::co_spawn(m_context, write_records(std::move(missing)), async_http::asio::detached);
     }
 }
 
-async_http::Task<void> member_registry::write(std::vector<contact> gateways)
+async_http::Task<void> member_registry::write_records(std::vector<contact> gateways)
 {
     // A gateway's record says what it reported itself: no condition is needed.
     store::Transaction transaction;
@@ -86,7 +86,7 @@
     m_writing = false;
 }
 
-std::vector<wire::Endpoint> member_registry::silent(const aggregation::aggregator& sums) const
+std::vector<wire::Endpoint> member_registry::unreporting(const aggregation::aggregator& own_aggregator) const
 {
     std::vector<wire::Endpoint> endpoints;
     for (const auto& [key, item] : m_records.items())
@@ -98,7 +98,7 @@
             continue;
         }
         bool is_self = gateway->m_name == m_node;
-        if (!is_self && !sums.members().contains(gateway->m_name))
+        if (!is_self && !own_aggregator.members().contains(gateway->m_name))
         {
             endpoints.push_back(gateway->m_endpoint);
         }
--- a/src/roles/exchange/member_registry.h
+++ b/src/roles/exchange/member_registry.h
@@ -23,9 +23,9 @@
 struct registry_options
 {
     /// between two writes of registrations
-    std::chrono::milliseconds m_write_pause{1000};
+    std::chrono::milliseconds m_write_interval{1000};
     /// registrations in one write: the store takes 32 entries
-    std::size_t m_most_in_one_write = 32;
+    std::size_t m_max_batch_size = 32;
 };
 
 /// @brief on the loop's thread only
@@ -46,14 +46,14 @@
     void set_paused(bool paused);
 
     /// @brief writes down the zone's gateways that report and have no record, or another one
-    void write_missing(instant now, const aggregation::aggregator& sums);
+    void register_missing(instant now, const aggregation::aggregator& own_aggregator);
 
     /// @return the zone's other gateways on record that don't report
-    std::vector<wire::Endpoint> silent(const aggregation::aggregator& sums) const;
+    std::vector<wire::Endpoint> unreporting(const aggregation::aggregator& own_aggregator) const;
 
   private:
-    bool is_written(const aggregation::contact& gateway) const;
-    async_http::Task<void> write(std::vector<aggregation::contact> gateways);
+    bool is_registered(const aggregation::contact& gateway) const;
+    async_http::Task<void> write_records(std::vector<aggregation::contact> gateways);
 
     async_http::asio::io_context& m_context;
     store::MetadataStore& m_store;
--- a/src/roles/exchange/slot_records.cc
+++ b/src/roles/exchange/slot_records.cc
@@ -21,19 +21,20 @@
     aggregation::slot_table table;
     for (const auto& [key, item] : items)
     {
-        absl::string_view rest = key;
-        absl::ConsumePrefix(&rest, kAggregators);
-        std::size_t slash = rest.rfind('/');
+        absl::string_view path = key;
+        absl::ConsumePrefix(&path, kAggregators);
+        std::size_t slash = path.rfind('/');
         std::size_t number = 0;
-        bool named = slash != absl::string_view::npos && absl::SimpleAtoi(rest.substr(slash + 1), &number);
+        bool valid_key =
+            slash != absl::string_view::npos && absl::SimpleAtoi(path.substr(slash + 1), &number);
         auto holder = wire::Decode<aggregation::contact>(item.value);
-        if (!named || !holder)
+        if (!valid_key || !holder)
         {
             log.Write(event_log::Line("slot_unreadable").Text("key", key));
         }
-        if (named)
+        if (valid_key)
         {
-            table[std::string(rest.substr(0, slash))][number] = {holder, item.revision};
+            table[std::string(path.substr(0, slash))][number] = {holder, item.revision};
         }
     }
     return table;
--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -25,9 +25,9 @@
 {
 
 /// bounds the memory of a gateway that nobody takes reports from
-constexpr std::size_t most_placements = 400;
+constexpr std::size_t max_placements = 400;
 
-std::uint8_t at_most_a_byte(std::uint32_t count)
+std::uint8_t saturate_to_byte(std::uint32_t count)
 {
     return static_cast<std::uint8_t>(std::min<std::uint32_t>(count, UINT8_MAX));
 }
@@ -42,14 +42,14 @@
         if (state.own_active > 0 || outcomes.m_served > 0 || outcomes.m_lost > 0)
         {
             loads.push_back({state.short_id, static_cast<std::uint16_t>(state.own_active),
-                             at_most_a_byte(outcomes.m_served), at_most_a_byte(outcomes.m_lost)});
+                             saturate_to_byte(outcomes.m_served), saturate_to_byte(outcomes.m_lost)});
         }
     }
     return loads;
 }
 
 /// the outcomes were told
-void mark_reported(const std::vector<runner_load>& loads, discovery::RunnerTable& runners)
+void clear_reported(const std::vector<runner_load>& loads, discovery::RunnerTable& runners)
 {
     for (const runner_load& load : loads)
     {
@@ -65,7 +65,7 @@
 
 zone_exchange::zone_exchange(async_http::asio::io_context& context, const RoleSettings& settings,
                              store::MetadataStore& store, wire::Transport& transport,
-                             const followed_mirrors& mirrors, forwarding::GatewayState& state,
+                             const mirror_references& mirrors, forwarding::GatewayState& state,
                              event_log::EventLog& log, const exchange_options& options)
     : m_context(context),
       m_settings(settings),
@@ -75,21 +75,21 @@
       m_log(log),
       m_options(options),
       m_mirrors{&mirrors.m_configuration, &mirrors.m_runners, &mirrors.m_ledger, &mirrors.m_aggregators},
-      m_sender(transport, m_mirrors,
-               [this]
-               {
-                   return machine();
-               }),
+      m_change_sender(transport, m_mirrors,
+                      [this]
+                      {
+                          return machine();
+                      }),
       m_registry(context, store, settings, log),
-      m_storage(
+      m_storage_link(
           m_settings, m_mirrors,
           [this](const wire::Endpoint& to, const datagram& message)
           {
               send(to, wire::Encode(message));
           },
           log),
-      m_news(state.random.NextId()),
-      m_lease(
+      m_propagation(state.random.NextId()),
+      m_lease_renewer(
           context, store, mirrors.m_configuration, state.lease, log,
           [this](const wire::Endpoint& to, const datagram& message)
           {
@@ -100,21 +100,21 @@
               state.informed.Notify();
           },
           state.random.NextId()),
-      m_watch(settings.node)
+      m_watch_policy(settings.node)
 {
 }
 
 void zone_exchange::start(std::uint16_t internal_port)
 {
     m_settings.internal_port = internal_port;
-    m_claims.emplace(self(), m_settings.processor_share);
+    m_claim_policy.emplace(self(), m_settings.processor_share);
     m_view.emplace(self());
-    m_began = SteadyInstant();
-    m_lease.start(m_settings.revocation.lease(), self().m_endpoint);
+    m_started_at = SteadyInstant();
+    m_lease_renewer.start(m_settings.revocation.lease(), self().m_endpoint);
     m_registry.start();
-    m_storage.start(m_began, self());
-    judge_watching(m_began);
-    judge_reading(m_began);
+    m_storage_link.start(m_started_at, self());
+    update_watching(m_started_at);
+    update_reading(m_started_at);
 }
 
 contact zone_exchange::self() const
@@ -131,21 +131,21 @@
     return self;
 }
 
-aggregation::known_changes zone_exchange::changes() const
+aggregation::mirror_revisions zone_exchange::revisions() const
 {
-    return last_changes(m_mirrors);
+    return last_revisions(m_mirrors);
 }
 
-bool zone_exchange::in_contact() const
+bool zone_exchange::reaches_store() const
 {
-    return m_watching && m_store_answers.value_or(false);
+    return m_watching && m_store_answered.value_or(false);
 }
 
-void zone_exchange::complete(instant now, digest& told) const
+void zone_exchange::set_sender_state(instant now, digest& outgoing) const
 {
-    told.m_changes = changes();
+    outgoing.m_revisions = revisions();
     // Another zone's word is as good; it is passed on in digests only, so that it goes round nowhere.
-    told.m_in_contact = in_contact() || m_view->other_zone_has_contact(now);
+    outgoing.m_store_reachable = reaches_store() || m_view->other_zone_reaches_store(now);
 }
 
 // ---- Slots ----
@@ -158,41 +158,41 @@
         return;
     }
     m_view->set_slots(m_slots);
-    become(m_claims->held(m_slots));
-    judge_reading(SteadyInstant());
+    set_slot(m_claim_policy->held_slot(m_slots));
+    update_reading(SteadyInstant());
     if (!m_mirrors.front()->complete())
     {
         report(SteadyInstant());  // What this gateway lacks is pushed at once.
     }
 }
 
-void zone_exchange::on_contact(bool reachable)
+void zone_exchange::on_store_reachability(bool reachable)
 {
-    m_store_answers = reachable;
-    judge_reading(SteadyInstant());
+    m_store_answered = reachable;
+    update_reading(SteadyInstant());
     m_state.store_reachable = store_reachable();
 }
 
-void zone_exchange::become(std::optional<std::size_t> slot)
+void zone_exchange::set_slot(std::optional<std::size_t> slot)
 {
     if (slot == m_slot)
     {
         return;
     }
     m_slot = slot;
-    bool aggregates = slot.has_value();
+    bool holds_slot = slot.has_value();
     m_log.Write(Line("aggregator_role")
-                    .Flag("aggregates", aggregates)
+                    .Flag("aggregates", holds_slot)
                     .Number("slot", static_cast<std::int64_t>(slot.value_or(0))));
-    if (aggregates && !m_sums)
+    if (holds_slot && !m_aggregator)
     {
-        m_sums = std::make_unique<aggregation::aggregator>(self(), m_state.random.NextId());
+        m_aggregator = std::make_unique<aggregation::aggregator>(self(), m_state.random.NextId());
     }
-    else if (!aggregates)
+    else if (!holds_slot)
     {
-        m_sums.reset();
+        m_aggregator.reset();
     }
-    m_view->set_aggregates(aggregates);
+    m_view->set_is_aggregator(holds_slot);
 }
 
 void zone_exchange::claim_slot(instant now)
@@ -201,20 +201,21 @@
     {
         return;
     }
-    auto claim = m_claims->due({now, &m_view->heard()}, m_slots);
+    auto claim = m_claim_policy->next_claim({now, &m_view->last_seen()}, m_slots);
     if (!claim)
     {
         return;
     }
-    bool looks = m_looked && now - *m_looked < m_options.m_claim_watch;
-    if (!looks)
+    bool claim_watch_active =
+        m_claim_watch_began && now - *m_claim_watch_began < m_options.m_claim_watch_period;
+    if (!claim_watch_active)
     {
-        m_looked = now;
+        m_claim_watch_began = now;
     }
-    else if (now - *m_looked >= m_options.m_look)
+    else if (now - *m_claim_watch_began >= m_options.m_pre_claim_watch)
     {
         m_claiming = true;
-        m_claims->note_tried(now, *claim);
+        m_claim_policy->record_attempt(now, *claim);
         async_http::asio::co_spawn(m_context, write_claim(*claim), async_http::asio::detached);
     }
 }
@@ -232,24 +233,24 @@
                     .Number("status", static_cast<std::int64_t>(status)));
     if (status == store::StoreStatus::kDone || status == store::StoreStatus::kUnknown)
     {
-        m_claims->note_taken(SteadyInstant());
+        m_claim_policy->record_claim(SteadyInstant());
     }
     m_claiming = false;
 }
 
-bool zone_exchange::hears(instant now, const contact& aggregator) const
+bool zone_exchange::is_alive(instant now, const contact& aggregator) const
 {
-    auto heard = m_view->heard().find(aggregator.m_name);
-    return heard != m_view->heard().end() && now - heard->second <= m_options.m_speaker_patience;
+    auto seen = m_view->last_seen().find(aggregator.m_name);
+    return seen != m_view->last_seen().end() && now - seen->second <= m_options.m_representative_timeout;
 }
 
-bool zone_exchange::speaks_for_zone(instant now) const
+bool zone_exchange::represents_zone(instant now) const
 {
-    auto is_heard = [&](const contact& aggregator)
+    auto is_alive_now = [&](const contact& aggregator)
     {
-        return hears(now, aggregator);
+        return is_alive(now, aggregator);
     };
-    return aggregates() && aggregation::first_heard(m_slots, self(), is_heard) == self();
+    return is_aggregator() && aggregation::zone_representative(m_slots, self(), is_alive_now) == self();
 }
 
 // ---- What peers tell ----
@@ -264,82 +265,83 @@
     }
     instant now = SteadyInstant();
     std::visit(
-        [&](const auto& told)
+        [&](const auto& content)
         {
-            take(now, told);
+            handle(now, content);
         },
         *message);
 }
 
-void zone_exchange::take(instant now, const member_report& report)
+void zone_exchange::handle(instant now, const member_report& report)
 {
-    ++m_stats.m_reports_taken;
-    m_news.heard(now, report.m_from, report.m_changes);
-    if (!m_sums)
+    ++m_stats.m_reports_received;
+    m_propagation.record_revisions(now, report.m_from, report.m_revisions);
+    if (!m_aggregator)
     {
         return;
     }
-    m_sums->take(now, report);
-    if (report.m_changes.front() == 0)
+    m_aggregator->handle(now, report);
+    if (report.m_revisions.front() == 0)
     {
-        push_news(now);  // It has just started, and clients may wait for it.
+        push_changes(now);  // It has just started, and clients may wait for it.
     }
 }
 
-void zone_exchange::take(instant now, const zone_summary& summary)
+void zone_exchange::handle(instant now, const zone_summary& summary)
 {
-    m_news.heard(now, summary.m_from, summary.m_changes);
-    m_view->take(now, summary);
-    if (m_sums)
+    m_propagation.record_revisions(now, summary.m_from, summary.m_revisions);
+    m_view->handle(now, summary);
+    if (m_aggregator)
     {
-        m_sums->take(now, summary);
+        m_aggregator->handle(now, summary);
     }
 }
 
-void zone_exchange::take(instant now, const digest& told)
+void zone_exchange::handle(instant now, const digest& received)
 {
-    ++m_stats.m_digests_taken;
-    m_news.heard(now, told.m_from, told.m_changes);
-    if (m_view->take(now, told))
+    ++m_stats.m_digests_received;
+    m_propagation.record_revisions(now, received.m_from, received.m_revisions);
+    if (m_view->handle(now, received))
     {
-        apply(now, m_view->without_own(told.m_loads), told.m_placements);
+        apply(now, m_view->subtract_own(received.m_loads), received.m_placements);
     }
 }
 
-void zone_exchange::take(instant /*now*/, const store::news_request& request)
+void zone_exchange::handle(instant /*now*/, const store::news_request& request)
 {
     if (request.m_mirror < m_mirrors.size())
     {
-        m_sender.send({request.m_address, request.m_port}, request.m_mirror, request.m_last_change);
+        m_change_sender.send({request.m_address, request.m_port}, request.m_mirror, request.m_last_change);
     }
 }
 
-void zone_exchange::take(instant /*now*/, const aggregation::confirmation_question& question)
+void zone_exchange::handle(instant /*now*/, const aggregation::confirmation_question& request)
 {
-    m_lease.on_question(question);
+    m_lease_renewer.on_request(request);
 }
 
-void zone_exchange::take(instant /*now*/, const aggregation::confirmation_answer& answer)
+void zone_exchange::handle(instant /*now*/, const aggregation::confirmation_answer& reply)
 {
-    m_lease.on_answer(answer);
+    m_lease_renewer.on_reply(reply);
 }
 
-lease_peers zone_exchange::peers_for_lease(instant now) const
+lease_peers zone_exchange::lease_renewal_peers(instant now) const
 {
     lease_peers peers;
-    if (aggregates())
+    if (is_aggregator())
     {
-        peers.m_part = speaks_for_zone(now) ? tenancy::zone_part::speaker : tenancy::zone_part::aggregator;
+        peers.m_role = represents_zone(now) ? tenancy::zone_part::speaker : tenancy::zone_part::aggregator;
     }
-    for (const report_target& target : m_view->targets(now))
+    for (const report_target& target : m_view->report_targets(now))
     {
         // The one whose digests this gateway goes by is asked first.
         auto place = target.m_primary ? peers.m_own_zone.begin() : peers.m_own_zone.end();
         peers.m_own_zone.insert(place, target.m_endpoint);
     }
-    for (const std::string& zone : aggregation::near_zones(m_slots, m_settings.zone, m_options.m_most_zones))
+    for (const std::string& zone :
+         aggregation::neighbor_zones(m_slots, m_settings.zone, m_options.m_max_zones))
     {
-        for (const contact& holder : aggregation::holders_of(m_slots, zone))
+        for (const contact& holder : aggregation::slot_holders(m_slots, zone))
         {
             peers.m_other_zones.push_back(holder.m_endpoint);
         }
@@ -351,11 +353,11 @@
 {
     if (m_view && m_state.lease.bounded())
     {
-        m_lease.tick(peers_for_lease(SteadyInstant()));
+        m_lease_renewer.tick(lease_renewal_peers(SteadyInstant()));
     }
 }
 
-void zone_exchange::on_news(const store::news_reply& reply)
+void zone_exchange::on_changes(const store::news_reply& reply)
 {
     if (reply.m_mirror >= m_mirrors.size())
     {
@@ -373,23 +375,23 @@
                         .Number("to", static_cast<std::int64_t>(reply.m_delta.m_last_change)));
     }
     mirror.TakeDelta(reply.m_delta);
-    if (m_sums)
+    if (m_aggregator)
     {
-        push_news(SteadyInstant());  // Its gateways shouldn't wait for the next tick.
+        push_changes(SteadyInstant());  // Its gateways shouldn't wait for the next tick.
     }
 }
 
 void zone_exchange::apply(instant now, const std::vector<runner_load>& others,
                           const std::vector<placement>& placements)
 {
-    m_digest_taken = now;
+    m_digest_received_at = now;
     discovery::RunnerTable& runners = m_state.runners;
-    bool counts = m_settings.policy.on(mechanism::peer_loads);
+    bool uses_peer_loads = m_settings.policy.on(mechanism::peer_loads);
     clear_peer_loads();
     for (const runner_load& load : others)
     {
         discovery::RunnerState* runner = runners.FindShort(load.m_runner);
-        if (runner == nullptr || !counts)
+        if (runner == nullptr || !uses_peer_loads)
         {
             continue;
         }
@@ -399,20 +401,20 @@
             runner->losses.note(now, {load.m_served, load.m_lost});
         }
     }
-    absl::Time noted = SteadyNow();
+    absl::Time now_time = SteadyNow();
     for (const placement& placed : placements)
     {
-        m_state.prefixes.Note(noted, {placed.m_part, placed.m_tokens}, placed.m_runner);
+        m_state.prefixes.Note(now_time, {placed.m_part, placed.m_tokens}, placed.m_runner);
     }
 }
 
-void zone_exchange::forget_old_loads(instant now)
+void zone_exchange::expire_peer_loads(instant now)
 {
-    if (!m_digest_taken || now - *m_digest_taken <= m_options.m_digest_lifetime)
+    if (!m_digest_received_at || now - *m_digest_received_at <= m_options.m_digest_lifetime)
     {
         return;
     }
-    m_digest_taken.reset();
+    m_digest_received_at.reset();
     m_log.Write(Line("digests_stopped"));
     clear_peer_loads();
 }
@@ -425,9 +427,9 @@
     }
 }
 
-void zone_exchange::note_placement(const forwarding::PromptPart& part, std::uint32_t runner)
+void zone_exchange::record_placement(const forwarding::PromptPart& part, std::uint32_t runner)
 {
-    if (m_placements.size() < most_placements)
+    if (m_placements.size() < max_placements)
     {
         m_placements.push_back({part.id, part.tokens, runner});
     }
@@ -438,148 +440,152 @@
 void zone_exchange::tick(bool ledger_silent)
 {
     instant now = SteadyInstant();
-    m_ledger_silent = ledger_silent;
-    judge_watching(now);
-    judge_reading(now);
+    m_ledger_unreachable = ledger_silent;
+    update_watching(now);
+    update_reading(now);
     claim_slot(now);
-    m_news.expire(now);
+    m_propagation.expire(now);
     report(now);
-    if (m_sums)
+    if (m_aggregator)
     {
-        m_sums->set_speaks(now, speaks_for_zone(now));
-        m_sums->expire(now);
+        m_aggregator->set_representative(now, represents_zone(now));
+        m_aggregator->expire(now);
         send_digests(now);
         send_introductions(now);
         send_summary(now);
-        push_news(now);
-        if (speaks_for_zone(now))
+        push_changes(now);
+        if (represents_zone(now))
         {
-            m_storage.tell(now, m_slots);
-            m_registry.write_missing(now, *m_sums);
+            m_storage_link.announce(now, m_slots);
+            m_registry.register_missing(now, *m_aggregator);
         }
     }
-    ask_for_news(now);
-    m_storage.ask(now, reads_everything(now));
+    query_changes(now);
+    m_storage_link.request_missing(now, reads_all_mirrors(now));
     confirm_configuration();
-    forget_old_loads(now);
-    m_state.gateways = std::max<std::uint32_t>(1, m_view->gateways());
+    expire_peer_loads(now);
+    m_state.gateways = std::max<std::uint32_t>(1, m_view->gateway_count());
     m_state.store_reachable = store_reachable();
 }
 
-void zone_exchange::judge_watching(instant now)
+void zone_exchange::update_watching(instant now)
 {
-    aggregation::watch_view seen;
-    seen.m_now = now;
-    seen.m_aggregates = aggregates();
-    seen.m_speaks = speaks_for_zone(now);
-    seen.m_zone_has_contact = m_view->own_zone_has_contact(now);
-    seen.m_hears_contact = m_view->hears_contact(now);
-    bool watch = m_watch.judge(seen) || !m_settings.policy.on(mechanism::peer_news);
+    aggregation::watch_state state;
+    state.m_now = now;
+    state.m_is_aggregator = is_aggregator();
+    state.m_is_representative = represents_zone(now);
+    state.m_zone_reaches_store = m_view->own_zone_reaches_store(now);
+    state.m_any_reaches_store = m_view->any_reaches_store(now);
+    bool watch = m_watch_policy.should_watch(state) || !m_settings.policy.on(mechanism::peer_news);
     if (watch != m_watching)
     {
         m_watching = watch;
-        m_store_answers.reset();  // An answer from before the watching proves nothing now.
+        m_store_answered.reset();  // An answer from before the watching proves nothing now.
         m_log.Write(Line("store_watching").Flag("watching", watch));
     }
     for (std::size_t mirror = 0; mirror + 1 < m_mirrors.size(); ++mirror)
     {
         m_mirrors[mirror]->SetWatching(watch);
     }
-    bool may_claim = m_claiming || m_claims->due({now, &m_view->heard()}, m_slots).has_value();
-    bool looks = m_looked && now - *m_looked < m_options.m_claim_watch && may_claim;
-    m_mirrors.back()->SetWatching(watch || looks);
+    bool may_claim =
+        m_claiming || m_claim_policy->next_claim({now, &m_view->last_seen()}, m_slots).has_value();
+    bool claim_watch_active =
+        m_claim_watch_began && now - *m_claim_watch_began < m_options.m_claim_watch_period && may_claim;
+    m_mirrors.back()->SetWatching(watch || claim_watch_active);
 }
 
 bool zone_exchange::waits_for_push(instant now) const
 {
-    auto patience = m_settings.first_start ? m_options.m_first_read_after : m_options.m_read_after;
+    auto timeout = m_settings.first_start ? m_options.m_first_start_read_delay : m_options.m_read_delay;
     bool slots_known = m_mirrors.back()->complete();
-    bool somebody_may_push = m_settings.first_start || !m_view->targets(now).empty();
-    return now - m_began < patience && (!slots_known || somebody_may_push);
+    bool may_receive_push = m_settings.first_start || !m_view->report_targets(now).empty();
+    return now - m_started_at < timeout && (!slots_known || may_receive_push);
 }
 
-bool zone_exchange::reads_everything(instant now) const
+bool zone_exchange::reads_all_mirrors(instant now) const
 {
-    return aggregates() || m_watching || !waits_for_push(now);
+    return is_aggregator() || m_watching || !waits_for_push(now);
 }
 
-void zone_exchange::judge_reading(instant now)
+void zone_exchange::update_reading(instant now)
 {
-    bool reads = reads_everything(now);
+    bool reads = reads_all_mirrors(now);
     // One question at a time while the store is away: the configuration's.
-    bool store_is_away = !m_store_answers.value_or(true);
+    bool store_unreachable = !m_store_answered.value_or(true);
     for (std::size_t mirror = 0; mirror + 1 < m_mirrors.size(); ++mirror)
     {
-        m_mirrors[mirror]->SetPaused(!reads || (mirror > 0 && store_is_away));
+        m_mirrors[mirror]->SetPaused(!reads || (mirror > 0 && store_unreachable));
     }
-    m_registry.set_paused(!aggregates() || store_is_away);
-    note_reading(reads, store_is_away);
+    m_registry.set_paused(!is_aggregator() || store_unreachable);
+    log_reading_change(reads, store_unreachable);
 }
 
-void zone_exchange::note_reading(bool reads, bool store_is_away)
+void zone_exchange::log_reading_change(bool reads, bool store_unreachable)
 {
-    if (m_reads == reads && m_store_is_away == store_is_away)
+    if (m_reading == reads && m_store_unreachable == store_unreachable)
     {
         return;
     }
-    m_reads = reads;
-    m_store_is_away = store_is_away;
+    m_reading = reads;
+    m_store_unreachable = store_unreachable;
     m_log.Write(
-        Line("store_reading").Flag("reads", reads).Flag("configuration_only", reads && store_is_away));
+        Line("store_reading").Flag("reads", reads).Flag("configuration_only", reads && store_unreachable));
 }
 
 bool zone_exchange::store_reachable() const
 {
     // One who doesn't watch has no proof of its own, whatever the store answered it once.
-    return m_watching ? m_store_answers.value_or(false) : m_view && m_view->hears_contact(SteadyInstant());
+    return m_watching ? m_store_answered.value_or(false)
+                      : m_view && m_view->any_reaches_store(SteadyInstant());
 }
 
-std::size_t zone_exchange::peers() const
+std::size_t zone_exchange::peer_count() const
 {
-    return m_view ? m_view->gateways() - 1 : 0;
+    return m_view ? m_view->gateway_count() - 1 : 0;
 }
 
 std::size_t zone_exchange::peers_without_ledger() const
 {
     std::size_t without = m_view ? m_view->gateways_without_ledger(SteadyInstant()) : 0;
     // The sums may count this gateway too.
-    return without - std::min<std::size_t>(without, m_reported.m_ledger_silent ? 1 : 0);
+    return without - std::min<std::size_t>(without, m_last_report.m_ledger_unreachable ? 1 : 0);
 }
 
-std::vector<wire::Endpoint> zone_exchange::peers_with_ledger(std::size_t most) const
+std::vector<wire::Endpoint> zone_exchange::peers_with_ledger(std::size_t max_count) const
 {
-    return m_view ? m_view->with_ledger(SteadyInstant(), most) : std::vector<wire::Endpoint>();
+    return m_view ? m_view->gateways_with_ledger(SteadyInstant(), max_count) : std::vector<wire::Endpoint>();
 }
 
 bool zone_exchange::report_is_due(instant now, const member_report& fresh,
                                   const std::vector<report_target>& targets) const
 {
-    bool changed = fresh.m_loads != m_reported.m_loads || !fresh.m_placements.empty() ||
-                   fresh.m_changes != m_reported.m_changes ||
-                   fresh.m_ledger_silent != m_reported.m_ledger_silent || targets != m_reported_to;
-    return changed || now - m_reported_at >= m_options.m_quiet_interval;
+    bool changed = fresh.m_loads != m_last_report.m_loads || !fresh.m_placements.empty() ||
+                   fresh.m_revisions != m_last_report.m_revisions ||
+                   fresh.m_ledger_unreachable != m_last_report.m_ledger_unreachable ||
+                   targets != m_last_report_targets;
+    return changed || now - m_last_report_at >= m_options.m_keepalive_interval;
 }
 
 void zone_exchange::report(instant now)
 {
     member_report fresh;
     fresh.m_from = self();
-    fresh.m_changes = changes();
-    fresh.m_ledger_silent = m_ledger_silent;
+    fresh.m_revisions = revisions();
+    fresh.m_ledger_unreachable = m_ledger_unreachable;
     fresh.m_loads = own_loads(m_state.runners);
     fresh.m_placements = m_placements;
-    std::vector<report_target> targets = m_view->targets(now);
-    bool has_taker = aggregates() || !targets.empty();
-    if (!has_taker || !report_is_due(now, fresh, targets))
+    std::vector<report_target> targets = m_view->report_targets(now);
+    bool has_receiver = is_aggregator() || !targets.empty();
+    if (!has_receiver || !report_is_due(now, fresh, targets))
     {
         return;
     }
-    mark_reported(fresh.m_loads, m_state.runners);
-    m_view->note_reported(now, fresh.m_loads);
+    clear_reported(fresh.m_loads, m_state.runners);
+    m_view->record_reported(now, fresh.m_loads);
     m_placements.clear();
-    if (m_sums)
+    if (m_aggregator)
     {
-        m_sums->take(now, fresh);
+        m_aggregator->handle(now, fresh);
     }
     std::string secondary_payload = wire::Encode(datagram(fresh));
     fresh.m_primary = true;
@@ -589,24 +595,24 @@
         send(target.m_endpoint, target.m_primary ? primary_payload : secondary_payload);
         ++m_stats.m_reports_sent;
     }
-    m_reported = std::move(fresh);
-    m_reported_to = std::move(targets);
-    m_reported_at = now;
+    m_last_report = std::move(fresh);
+    m_last_report_targets = std::move(targets);
+    m_last_report_at = now;
 }
 
 void zone_exchange::send_digests(instant now)
 {
-    if (m_sums->digest_is_due(now))
+    if (m_aggregator->digest_is_due(now))
     {
-        digest full = m_sums->make_digest(now);
-        complete(now, full);
+        digest full = m_aggregator->make_digest(now);
+        set_sender_state(now, full);
         std::string payload = wire::Encode(datagram(full));
-        m_sums->note_digest_sent(now, payload.size());
-        send_all(m_sums->primary_members(now), payload, m_stats.m_digests_sent);
-        m_view->take_counts(now, full.m_gateways, full.m_without_ledger);
-        apply(now, m_view->without_own(full.m_loads), full.m_placements);
+        m_aggregator->record_digest_sent(now, payload.size());
+        send_all(m_aggregator->primary_members(now), payload, m_stats.m_digests_sent);
+        m_view->set_counts(now, full.m_gateways, full.m_without_ledger);
+        apply(now, m_view->subtract_own(full.m_loads), full.m_placements);
     }
-    send_short_digest(now, m_sums->take_short_digest_due(now));
+    send_short_digest(now, m_aggregator->take_short_digest_due(now));
 }
 
 void zone_exchange::send_short_digest(instant now, const std::vector<wire::Endpoint>& receivers)
@@ -615,8 +621,8 @@
     {
         return;
     }
-    digest brief = m_sums->make_short_digest(now);
-    complete(now, brief);
+    digest brief = m_aggregator->make_short_digest(now);
+    set_sender_state(now, brief);
     send_all(receivers, wire::Encode(datagram(brief)), m_stats.m_digests_sent);
 }
 
@@ -627,36 +633,36 @@
         return;
     }
     m_introduced_at = now;
-    send_short_digest(now, m_registry.silent(*m_sums));
+    send_short_digest(now, m_registry.unreporting(*m_aggregator));
 }
 
 void zone_exchange::send_summary(instant now)
 {
-    if (now - m_summary_sent < m_options.m_summary_interval || !speaks_for_zone(now))
+    if (now - m_summary_sent_at < m_options.m_summary_interval || !represents_zone(now))
     {
         return;
     }
-    m_summary_sent = now;
-    zone_summary summary = m_sums->make_summary(now);
-    summary.m_changes = changes();
-    summary.m_in_contact = in_contact();
+    m_summary_sent_at = now;
+    zone_summary summary = m_aggregator->make_summary(now);
+    summary.m_revisions = revisions();
+    summary.m_store_reachable = reaches_store();
     std::string payload = wire::Encode(datagram(std::move(summary)));
-    auto is_heard = [&](const contact& aggregator)
+    auto is_alive_now = [&](const contact& aggregator)
     {
-        return hears(now, aggregator);
+        return is_alive(now, aggregator);
     };
-    send_all(aggregation::summary_targets(m_slots, self(), is_heard, m_options.m_most_zones), payload,
+    send_all(aggregation::summary_targets(m_slots, self(), is_alive_now, m_options.m_max_zones), payload,
              m_stats.m_summaries_sent);
     relay_summary(now);
 }
 
 void zone_exchange::relay_summary(instant now)
 {
-    zone_summary others = m_sums->make_relayed_summary(now);
-    others.m_changes = changes();
-    others.m_in_contact = in_contact();
+    zone_summary others = m_aggregator->make_relayed_summary(now);
+    others.m_revisions = revisions();
+    others.m_store_reachable = reaches_store();
     std::string payload = wire::Encode(datagram(std::move(others)));
-    for (const contact& holder : aggregation::holders_of(m_slots, m_settings.zone))
+    for (const contact& holder : aggregation::slot_holders(m_slots, m_settings.zone))
     {
         if (holder.m_name != m_settings.node)
         {
@@ -666,36 +672,36 @@
     }
 }
 
-void zone_exchange::push_news(instant now)
+void zone_exchange::push_changes(instant now)
 {
-    for (const aggregation::news_push& push :
-         m_news.take_due_pushes(now, changes(), *m_sums, aggregation::holders_of(m_slots, m_settings.zone)))
+    for (const aggregation::change_push& push : m_propagation.take_due_pushes(
+             now, revisions(), *m_aggregator, aggregation::slot_holders(m_slots, m_settings.zone)))
     {
-        ++m_stats.m_news_pushed;
-        m_sender.send(push.m_to, push.m_mirror, push.m_since);
+        ++m_stats.m_changes_pushed;
+        m_change_sender.send(push.m_to, push.m_mirror, push.m_since);
     }
 }
 
-void zone_exchange::ask_for_news(instant now)
+void zone_exchange::query_changes(instant now)
 {
     for (std::size_t mirror = 0; mirror < m_mirrors.size(); ++mirror)
     {
         // A push or the own watch may still bring it, unless the store is lost to this gateway.
-        bool patient = !m_watching || m_store_answers.value_or(false);
-        auto question = m_news.next_question(now, mirror, m_mirrors[mirror]->last_change(), patient);
-        if (question)
+        bool may_wait = !m_watching || m_store_answered.value_or(false);
+        auto query = m_propagation.next_query(now, mirror, m_mirrors[mirror]->last_change(), may_wait);
+        if (query)
         {
-            ++m_stats.m_news_asked;
+            ++m_stats.m_changes_queried;
             store::news_request request{static_cast<std::uint8_t>(mirror), m_mirrors[mirror]->last_change(),
                                         m_settings.address, m_settings.internal_port};
-            send(question->m_peer, wire::Encode(datagram(request)));
+            send(query->m_peer, wire::Encode(datagram(request)));
         }
     }
 }
 
-void zone_exchange::set_storage(std::vector<turn_ledger::Machine> machines)
+void zone_exchange::set_storage_machines(std::vector<turn_ledger::Machine> machines)
 {
-    m_storage.set_machines(std::move(machines));
+    m_storage_link.set_machines(std::move(machines));
 }
 
 void zone_exchange::send(const wire::Endpoint& to, const std::string& payload)
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -154,7 +154,7 @@
           loop.context(), store, formats.ConfigurationKey(),
           [this](const store::StoreChange& change) { OnConfigurationChange(change); },
           [this](bool reachable, store::StoreStatus status) {
-            exchange_.on_contact(reachable);
+            exchange_.on_store_reachability(reachable);
             OnContact("configuration", configuration_, reachable, status);
           },
           ProvedWatch(settings)),
@@ -201,7 +201,7 @@
       },
       ZoneName(settings.zone), state_->random.NextId() >> 16U);
   state_->on_placement = [this](const forwarding::PromptPart& part, std::uint32_t runner) {
-    exchange_.note_placement(part, runner);
+    exchange_.record_placement(part, runner);
   };
 }
 
@@ -241,7 +241,7 @@
                             store::StoreStatus status) {
   log_.Write(DescribeStoreContact(what, mirror, reachable, status));
   if (reachable) {
-    exchange_.on_store_back();
+    exchange_.on_store_recovered();
   }
 }
 
@@ -351,7 +351,7 @@
   log_.Write(Line("ledger_directory_changed")
                  .Number("machines", static_cast<std::int64_t>(machines.size())));
   SetLedgerGroups(machines);
-  exchange_.set_storage(std::move(machines));
+  exchange_.set_storage_machines(std::move(machines));
 }
 
 void GatewayRole::SetLedgerGroups(const std::vector<Machine>& machines) {
@@ -387,7 +387,7 @@
   } else if (auto* chain = std::get_if<turn_ledger::chain_reply>(&envelope.body)) {
     state_->chains->on_reply(std::move(*chain));
   } else if (const auto* news = std::get_if<store::news_reply>(&envelope.body)) {
-    exchange_.on_news(*news);
+    exchange_.on_changes(*news);
   } else if (auto* request = std::get_if<turn_ledger::LedgerRequest>(&envelope.body)) {
     async_http::asio::co_spawn(
         loop_.context(), RelayToLedger(envelope.from.endpoint, std::move(*request), read->m_layout),
@@ -428,7 +428,7 @@
   view.m_now = std::chrono::steady_clock::now();
   view.m_groups = state_->ledger->probed_groups();
   view.m_silent_groups = state_->ledger->SilentGroups(absl::FromChrono(knobs.m_silent_after));
-  view.m_peers = exchange_.peers();
+  view.m_peers = exchange_.peer_count();
   view.m_peers_without_ledger = exchange_.peers_without_ledger();
   bool reaches = ledger_readiness_.judge(view) || !settings_.policy.on(mechanism::readiness);
   std::vector<wire::Endpoint> relays;
@@ -538,20 +538,22 @@
   metrics.Set("store_calls", static_cast<double>(store_.calls()));
   SetStoreMetrics();
   metrics.Set("known_runners", static_cast<double>(state_->runners.all().size()));
-  metrics.Set("known_gateways", static_cast<double>(exchange_.peers() + 1));
+  metrics.Set("known_gateways", static_cast<double>(exchange_.peer_count() + 1));
   const exchange_stats& told = exchange_.stats();
-  metrics.Set("aggregates", exchange_.aggregates() ? 1 : 0);
-  metrics.Set("aggregator_members", static_cast<double>(exchange_.members()));
+  metrics.Set("aggregates", exchange_.is_aggregator() ? 1 : 0);
+  metrics.Set("aggregator_members", static_cast<double>(exchange_.member_count()));
   metrics.Set("reports_sent", static_cast<double>(told.m_reports_sent));
-  metrics.Set("reports_taken", static_cast<double>(told.m_reports_taken));
+  metrics.Set("reports_taken", static_cast<double>(told.m_reports_received));
   metrics.Set("digests_sent", static_cast<double>(told.m_digests_sent));
-  metrics.Set("digests_taken", static_cast<double>(told.m_digests_taken));
+  metrics.Set("digests_taken", static_cast<double>(told.m_digests_received));
   metrics.Set("summaries_sent", static_cast<double>(told.m_summaries_sent));
-  metrics.Set("changes_pushed", static_cast<double>(told.m_news_pushed));
-  metrics.Set("changes_asked", static_cast<double>(told.m_news_asked));
-  metrics.Set("lease_store_questions", static_cast<double>(exchange_.leases().m_store_questions));
-  metrics.Set("lease_peer_questions", static_cast<double>(exchange_.leases().m_peer_questions));
-  metrics.Set("lease_peer_answers", static_cast<double>(exchange_.leases().m_peer_answers));
+  metrics.Set("changes_pushed", static_cast<double>(told.m_changes_pushed));
+  metrics.Set("changes_asked", static_cast<double>(told.m_changes_queried));
+  metrics.Set("lease_store_questions",
+              static_cast<double>(exchange_.lease_counters().m_store_requests));
+  metrics.Set("lease_peer_questions",
+              static_cast<double>(exchange_.lease_counters().m_peer_requests));
+  metrics.Set("lease_peer_answers", static_cast<double>(exchange_.lease_counters().m_peer_replies));
   metrics.Set("datagrams_unreadable", static_cast<double>(told.m_datagrams_unreadable));
   metrics.Set("frames_unreadable", static_cast<double>(link_.stats().m_unreadable));
   metrics.Set("requests_dropped_for_unknown_peers", static_cast<double>(link_.stats().m_dropped));
--- a/src/roles/ledger/kept_copies.cc
+++ b/src/roles/ledger/kept_copies.cc
@@ -155,7 +155,7 @@
         std::uint64_t known = m_copies[copy]->last_change();
         std::optional<instant>& asked = m_upkeep[copy].m_asked;
         bool just_asked = asked && now - *asked < m_options.m_ask_again;
-        if (told.m_changes[copy] <= known || just_asked)
+        if (told.m_revisions[copy] <= known || just_asked)
         {
             continue;
         }
--- a/src/roles/ledger/kept_copies.h
+++ b/src/roles/ledger/kept_copies.h
@@ -18,7 +18,7 @@
 #include "aggregation/messages.h"
 #include "async_http/task.h"
 #include "event_log/event_log.h"
-#include "roles/exchange/news_sender.h"
+#include "roles/exchange/change_sender.h"
 #include "roles/platform_formats.h"
 #include "roles/role_settings.h"
 #include "store/metadata_store.h"
@@ -94,9 +94,9 @@
     store::PrefixMirror m_configuration;
     store::PrefixMirror m_runners;
     store::PrefixMirror m_aggregators;
-    followed_copies m_copies;
+    mirror_list m_copies;
     std::array<upkeep, aggregation::mirror_count> m_upkeep;
-    news_sender m_sender;
+    change_sender m_sender;
 };
 
 }  // namespace martenyard::roles
--- a/tests/aggregation/news_test.cc
+++ b/tests/aggregation/change_propagation_test.cc
@@ -1,5 +1,5 @@
 // Which changes of the store are pushed to whom, and asked from whom.
-#include "aggregation/news.h"
+#include "aggregation/change_propagation.h"
 
 #include <gtest/gtest.h>
 
@@ -18,7 +18,7 @@
                      bool primary = true) {
   member_report report;
   report.m_from = Gateway(name, port);
-  report.m_changes[kConfiguration] = change;
+  report.m_revisions[kConfiguration] = change;
   report.m_primary = primary;
   return report;
 }
@@ -26,25 +26,25 @@
 class NewsTest : public ::testing::Test {
  protected:
   void Hear(const member_report& report, milliseconds at) {
-    sums_.take(instant() + at, report);
-    news_.heard(instant() + at, report.m_from, report.m_changes);
+    sums_.handle(instant() + at, report);
+    news_.record_revisions(instant() + at, report.m_from, report.m_revisions);
   }
-  std::vector<news_push> Pushes(std::uint64_t own, milliseconds at) {
-    known_changes changes{};
+  std::vector<change_push> Pushes(std::uint64_t own, milliseconds at) {
+    mirror_revisions changes{};
     changes[kConfiguration] = own;
     return news_.take_due_pushes(instant() + at, changes, sums_);
   }
-  std::optional<news_question> Question(std::uint64_t own, milliseconds at, bool patient) {
-    return news_.next_question(instant() + at, kConfiguration, own, patient);
+  std::optional<change_query> Question(std::uint64_t own, milliseconds at, bool patient) {
+    return news_.next_query(instant() + at, kConfiguration, own, patient);
   }
 
   aggregator sums_{Gateway("self", 1), 7};
-  news_decisions news_{7};
+  change_propagation news_{7};
 };
 
 TEST_F(NewsTest, GatewayThatIsBehindIsToldOnceUntilItsNextReportsAreDue) {
   Hear(Report("g", 2, 8), milliseconds(0));
-  std::vector<news_push> pushes = Pushes(9, milliseconds(0));
+  std::vector<change_push> pushes = Pushes(9, milliseconds(0));
   ASSERT_EQ(pushes.size(), 1U);
   EXPECT_EQ(pushes[0].m_to.port, 2);
   EXPECT_EQ(pushes[0].m_since, 8U);
@@ -81,8 +81,8 @@
 }
 
 TEST_F(NewsTest, QuestionsGoToThoseWhoKnowMoreOneAtATime) {
-  news_.heard(instant(), Gateway("ahead", 3), {9});
-  news_.heard(instant(), Gateway("behind", 4), {7});
+  news_.record_revisions(instant(), Gateway("ahead", 3), {9});
+  news_.record_revisions(instant(), Gateway("behind", 4), {7});
   EXPECT_FALSE(Question(9, milliseconds(0), false)) << "as new as all of them";
   auto question = Question(8, milliseconds(0), false);
   ASSERT_TRUE(question);
@@ -92,14 +92,14 @@
 }
 
 TEST_F(NewsTest, WatchingOrServedGatewayWaitsBeforeItAsks) {
-  news_.heard(instant(), Gateway("ahead", 3), {9});
+  news_.record_revisions(instant(), Gateway("ahead", 3), {9});
   EXPECT_FALSE(Question(8, milliseconds(0), true));
   EXPECT_FALSE(Question(8, milliseconds(300), true));
   EXPECT_TRUE(Question(8, milliseconds(450), true)) << "neither a watch nor a push brought it";
 }
 
 TEST_F(NewsTest, SilentPeersAreNotAsked) {
-  news_.heard(instant(), Gateway("ahead", 3), {9});
+  news_.record_revisions(instant(), Gateway("ahead", 3), {9});
   EXPECT_FALSE(Question(8, milliseconds(1700), false));
 }
 
--- a/tests/aggregation/fleet_test.cc
+++ b/tests/aggregation/fleet_test.cc
@@ -8,10 +8,10 @@
 #include <queue>
 
 #include "aggregation/aggregator.h"
+#include "aggregation/change_propagation.h"
 #include "aggregation/member_view.h"
-#include "aggregation/news.h"
 #include "aggregation/slots.h"
-#include "aggregation/watching.h"
+#include "aggregation/watch_policy.h"
 #include "wire/codec.h"
 
 namespace martenyard::aggregation {
@@ -36,13 +36,13 @@
       : self(own), claims(own, 0.5), view(own), news(seed), watch(own.m_name), seed(seed) {}
 
   contact self;
-  slot_claims claims;
+  slot_claim_policy claims;
   member_view view;
-  news_decisions news;
-  watch_decision watch;
+  change_propagation news;
+  watch_policy watch;
   std::uint64_t seed;
   std::unique_ptr<aggregator> sums;
-  known_changes changes{};
+  mirror_revisions changes{};
   slot_table slots;
   std::vector<runner_load> loads;
   std::map<std::uint32_t, std::uint32_t> others;  // Other gateways' requests, as last told.
@@ -147,21 +147,21 @@
   }
 
   void Take(SimulatedGateway& gateway, const member_report& report) {
-    gateway.news.heard(now_, report.m_from, report.m_changes);
+    gateway.news.record_revisions(now_, report.m_from, report.m_revisions);
     if (gateway.sums) {
-      gateway.sums->take(now_, report);
+      gateway.sums->handle(now_, report);
     }
   }
   void Take(SimulatedGateway& gateway, const zone_summary& summary) {
-    gateway.news.heard(now_, summary.m_from, summary.m_changes);
-    gateway.view.take(now_, summary);
+    gateway.news.record_revisions(now_, summary.m_from, summary.m_revisions);
+    gateway.view.handle(now_, summary);
     if (gateway.sums) {
-      gateway.sums->take(now_, summary);
+      gateway.sums->handle(now_, summary);
     }
   }
   void Take(SimulatedGateway& gateway, const digest& told) {
-    gateway.news.heard(now_, told.m_from, told.m_changes);
-    if (gateway.view.take(now_, told)) {
+    gateway.news.record_revisions(now_, told.m_from, told.m_revisions);
+    if (gateway.view.handle(now_, told)) {
       Apply(gateway, told);
     }
   }
@@ -191,8 +191,8 @@
     }
     gateway.slots = slots;
     gateway.view.set_slots(slots);
-    bool aggregates = gateway.claims.held(slots).has_value();
-    gateway.view.set_aggregates(aggregates);
+    bool aggregates = gateway.claims.held_slot(slots).has_value();
+    gateway.view.set_is_aggregator(aggregates);
     if (aggregates && !gateway.sums) {
       gateway.sums = std::make_unique<aggregator>(gateway.self, gateway.seed);
     } else if (!aggregates) {
@@ -202,7 +202,7 @@
 
   void Apply(SimulatedGateway& gateway, const digest& told) {
     gateway.others.clear();
-    for (const runner_load& load : gateway.view.without_own(told.m_loads)) {
+    for (const runner_load& load : gateway.view.subtract_own(told.m_loads)) {
       gateway.others[load.m_runner] = load.m_active;
     }
   }
@@ -215,17 +215,17 @@
     }
     // While the zone has vacant slots all watch their records.
     bool vacant = gateway.slots[gateway.self.m_zone].size() < slots_per_zone;
-    bool watches = gateway.watch.judge({now_, gateway.sums != nullptr, Speaks(gateway),
-                                        gateway.view.own_zone_has_contact(now_),
-                                        gateway.view.hears_contact(now_)});
+    bool watches = gateway.watch.should_watch({now_, gateway.sums != nullptr, Speaks(gateway),
+                                               gateway.view.own_zone_reaches_store(now_),
+                                               gateway.view.any_reaches_store(now_)});
     for (std::size_t mirror = 0; mirror < mirror_count; ++mirror) {
       if (gateway.reaches_store && (watches || (vacant && mirror == kSlots))) {
         Learn(gateway, mirror, store_[mirror], slots_);
       }
     }
     gateway.in_contact = gateway.reaches_store && watches;
-    if (auto claim = gateway.claims.due({now_, &gateway.view.heard()}, gateway.slots)) {
-      gateway.claims.note_tried(now_, *claim);
+    if (auto claim = gateway.claims.next_claim({now_, &gateway.view.last_seen()}, gateway.slots)) {
+      gateway.claims.record_attempt(now_, *claim);
       Claim(gateway, *claim);
     }
     gateway.news.expire(now_);
@@ -235,7 +235,7 @@
     }
     for (std::size_t mirror = 0; mirror < mirror_count; ++mirror) {
       auto question =
-          gateway.news.next_question(now_, mirror, gateway.changes[mirror], gateway.reaches_store);
+          gateway.news.next_query(now_, mirror, gateway.changes[mirror], gateway.reaches_store);
       if (question) {
         store::news_request request{static_cast<std::uint8_t>(mirror), gateway.changes[mirror],
                                     gateway.self.m_endpoint.address, gateway.self.m_endpoint.port};
@@ -259,13 +259,13 @@
   void Report(SimulatedGateway& gateway) {
     member_report report;
     report.m_from = gateway.self;
-    report.m_changes = gateway.changes;
+    report.m_revisions = gateway.changes;
     report.m_loads = gateway.loads;
-    gateway.view.note_reported(now_, report.m_loads);
+    gateway.view.record_reported(now_, report.m_loads);
     if (gateway.sums) {
-      gateway.sums->take(now_, report);
+      gateway.sums->handle(now_, report);
     }
-    for (const report_target& target : gateway.view.targets(now_)) {
+    for (const report_target& target : gateway.view.report_targets(now_)) {
       report.m_primary = target.m_primary;
       SendAll(gateway, {target.m_endpoint}, report);
     }
@@ -276,46 +276,47 @@
     sums.expire(now_);
     if (sums.digest_is_due(now_)) {
       digest full = sums.make_digest(now_);
-      full.m_changes = gateway.changes;
-      full.m_in_contact = gateway.in_contact || gateway.view.other_zone_has_contact(now_);
-      sums.note_digest_sent(now_, wire::Encode(datagram(full)).size());
+      full.m_revisions = gateway.changes;
+      full.m_store_reachable = gateway.in_contact || gateway.view.other_zone_reaches_store(now_);
+      sums.record_digest_sent(now_, wire::Encode(datagram(full)).size());
       SendAll(gateway, sums.primary_members(now_), full);
-      gateway.view.take_counts(now_, full.m_gateways, full.m_without_ledger);
+      gateway.view.set_counts(now_, full.m_gateways, full.m_without_ledger);
       Apply(gateway, full);
     }
     digest brief = sums.make_short_digest(now_);
-    brief.m_changes = gateway.changes;
-    brief.m_in_contact = gateway.in_contact || gateway.view.other_zone_has_contact(now_);
+    brief.m_revisions = gateway.changes;
+    brief.m_store_reachable = gateway.in_contact || gateway.view.other_zone_reaches_store(now_);
     SendAll(gateway, sums.take_short_digest_due(now_), brief);
-    sums.set_speaks(now_, Speaks(gateway));
+    sums.set_representative(now_, Speaks(gateway));
     if (Speaks(gateway)) {
       zone_summary summary = sums.make_summary(now_);
-      summary.m_changes = gateway.changes;
-      summary.m_in_contact = gateway.in_contact;
-      auto hears = [&](const contact& other) { return Hears(gateway, other); };
-      SendAll(gateway, summary_targets(gateway.slots, gateway.self, hears, 8), summary);
+      summary.m_revisions = gateway.changes;
+      summary.m_store_reachable = gateway.in_contact;
+      auto has_live_member = [&](const contact& other) { return Hears(gateway, other); };
+      SendAll(gateway, summary_targets(gateway.slots, gateway.self, has_live_member, 8), summary);
       zone_summary others = sums.make_relayed_summary(now_);
-      others.m_changes = gateway.changes;
-      others.m_in_contact = gateway.in_contact;
+      others.m_revisions = gateway.changes;
+      others.m_store_reachable = gateway.in_contact;
       SendAll(gateway, CoAggregators(gateway), others);
     }
-    for (const news_push& push : gateway.news.take_due_pushes(
-             now_, gateway.changes, sums, holders_of(gateway.slots, gateway.self.m_zone))) {
+    for (const change_push& push : gateway.news.take_due_pushes(
+             now_, gateway.changes, sums, slot_holders(gateway.slots, gateway.self.m_zone))) {
       Deliver(gateway, push.m_to.port, push.m_mirror);
     }
   }
 
   bool Hears(const SimulatedGateway& gateway, const contact& other) {
-    auto heard = gateway.view.heard().find(other.m_name);
-    return heard != gateway.view.heard().end() && now_ - heard->second <= milliseconds(900);
+    auto heard = gateway.view.last_seen().find(other.m_name);
+    return heard != gateway.view.last_seen().end() && now_ - heard->second <= milliseconds(900);
   }
   bool Speaks(const SimulatedGateway& gateway) {
-    auto hears = [&](const contact& other) { return Hears(gateway, other); };
-    return gateway.sums && first_heard(gateway.slots, gateway.self, hears) == gateway.self;
+    auto has_live_member = [&](const contact& other) { return Hears(gateway, other); };
+    return gateway.sums &&
+           zone_representative(gateway.slots, gateway.self, has_live_member) == gateway.self;
   }
   std::vector<wire::Endpoint> CoAggregators(const SimulatedGateway& gateway) {
     std::vector<wire::Endpoint> endpoints;
-    for (const contact& holder : holders_of(gateway.slots, gateway.self.m_zone)) {
+    for (const contact& holder : slot_holders(gateway.slots, gateway.self.m_zone)) {
       if (holder != gateway.self) {
         endpoints.push_back(holder.m_endpoint);
       }
@@ -329,7 +330,7 @@
   std::uint64_t order_ = 0;
   std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
   std::uint64_t revision_ = 0;
-  known_changes store_{};
+  mirror_revisions store_{};
   slot_table slots_;
   std::uint64_t slot_writes_ = 0;
 };
--- a/tests/aggregation/load_sums_test.cc
+++ b/tests/aggregation/load_sums_test.cc
@@ -27,17 +27,17 @@
 
 TEST(LoadSumsTest, LatestReportOfEachSourceCountsAtOnce) {
   load_sums sums(kLifetime);
-  sums.take(instant(), "g1", {{kA, 3}, {kB, 1}});
-  sums.take(instant(), "g2", {{kA, 2}});
+  sums.update(instant(), "g1", {{kA, 3}, {kB, 1}});
+  sums.update(instant(), "g2", {{kA, 2}});
   EXPECT_EQ(Sum(sums), (Active{{kA, 5}, {kB, 1}}));
-  sums.take(instant(), "g1", {{kA, 1}});
+  sums.update(instant(), "g1", {{kA, 1}});
   EXPECT_EQ(Sum(sums), (Active{{kA, 3}}));
 }
 
 TEST(LoadSumsTest, SilentSourceCountsNoMore) {
   load_sums sums(kLifetime);
-  sums.take(instant(), "g1", {{kA, 3}});
-  sums.take(instant() + kLifetime, "g2", {{kB, 4}});
+  sums.update(instant(), "g1", {{kA, 3}});
+  sums.update(instant() + kLifetime, "g2", {{kB, 4}});
   sums.expire(instant() + kLifetime + milliseconds(1));
   EXPECT_EQ(Sum(sums), (Active{{kB, 4}}));
 }
@@ -55,12 +55,12 @@
       loads.push_back({runner, active});
       latest[source][runner] = active;
     }
-    sums.take(instant(), source, loads);
+    sums.update(instant(), source, loads);
     Active active = Sum(sums);
     for (std::uint32_t runner = 0; runner < 4; ++runner) {
       std::uint32_t expected = 0;
-      for (const auto& [name, told] : latest) {
-        expected += told.at(runner);
+      for (const auto& [name, loads_by_runner] : latest) {
+        expected += loads_by_runner.at(runner);
       }
       RC_ASSERT(active[runner] == expected);
     }
@@ -68,29 +68,29 @@
 }
 
 TEST(PendingNewsTest, OutcomesAreToldOnceAndWhatDoesNotFitComesWithTheNextMessage) {
-  pending_news news(8);
-  news.note({{kA, 0, 200, 0}, {kB, 0, 1, 2}}, {});
-  news.note({{kA, 0, 200, 0}}, {});
-  std::vector<runner_load> first = news.take_loads({{kB, 3}});
+  pending_updates updates(8);
+  updates.record({{kA, 0, 200, 0}, {kB, 0, 1, 2}}, {});
+  updates.record({{kA, 0, 200, 0}}, {});
+  std::vector<runner_load> first = updates.take_loads({{kB, 3}});
   ASSERT_EQ(first.size(), 2U);
   std::sort(first.begin(), first.end(), [](const runner_load& left, const runner_load& right) {
     return left.m_runner < right.m_runner;
   });
   EXPECT_EQ(first[0], (runner_load{kA, 0, 255, 0}));
   EXPECT_EQ(first[1], (runner_load{kB, 3, 1, 2}));
-  std::vector<runner_load> second = news.take_loads({});
+  std::vector<runner_load> second = updates.take_loads({});
   ASSERT_EQ(second.size(), 1U);
   EXPECT_EQ(second[0], (runner_load{kA, 0, 145, 0}));
-  EXPECT_TRUE(news.take_loads({}).empty());
+  EXPECT_TRUE(updates.take_loads({}).empty());
 }
 
 TEST(PendingNewsTest, PlacementsBeyondTheCapAreDroppedAndCounted) {
-  pending_news news(2);
-  news.note({}, {{1, 10, kA}, {2, 10, kA}, {3, 10, kA}});
-  EXPECT_EQ(news.take_placements().size(), 2U);
-  EXPECT_EQ(news.dropped(), 1U);
-  news.note({}, {{4, 10, kA}});
-  EXPECT_EQ(news.take_placements().size(), 1U);
+  pending_updates updates(2);
+  updates.record({}, {{1, 10, kA}, {2, 10, kA}, {3, 10, kA}});
+  EXPECT_EQ(updates.take_placements().size(), 2U);
+  EXPECT_EQ(updates.dropped(), 1U);
+  updates.record({}, {{4, 10, kA}});
+  EXPECT_EQ(updates.take_placements().size(), 1U);
 }
 
 member_report ReportFrom(const std::string& name, const std::string& zone) {
@@ -103,11 +103,11 @@
   // At the start of 1,400 simulated gateways the first aggregator was full of other zones'.
   aggregator sums({"self", "z", {"10.0.0.1", 1}}, 7);
   for (int number = 0; number < 500; ++number) {
-    sums.take(instant(), ReportFrom("foreign" + std::to_string(number), "y"));
+    sums.handle(instant(), ReportFrom("foreign" + std::to_string(number), "y"));
   }
-  EXPECT_EQ(sums.members().size(), aggregator_options{}.m_most_foreign);
-  sums.take(instant(), ReportFrom("own", "z"));
-  EXPECT_TRUE(sums.hears(instant(), "own"));
+  EXPECT_EQ(sums.members().size(), aggregator_options{}.m_max_foreign);
+  sums.handle(instant(), ReportFrom("own", "z"));
+  EXPECT_TRUE(sums.has_live_member(instant(), "own"));
   sums.expire(instant() + milliseconds(2000));
   EXPECT_EQ(sums.members().size(), 1U) << "they went back to their own";
 }
@@ -122,15 +122,15 @@
   direct.m_from = {"c", "y", {"10.0.0.1", 3}};
   direct.m_gateways = 40;
   direct.m_loads = {{kA, 5, 0, 0}};
-  sums.take(instant(), relayed);
-  sums.take(instant(), direct);
+  sums.handle(instant(), relayed);
+  sums.handle(instant(), direct);
   EXPECT_EQ(sums.make_digest(instant()).m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
-  EXPECT_EQ(sums.gateways(instant()), 40U);
-  sums.set_speaks(instant(), true);
-  sums.take(instant(), relayed);
-  sums.take(instant(), direct);
+  EXPECT_EQ(sums.gateway_count(instant()), 40U);
+  sums.set_representative(instant(), true);
+  sums.handle(instant(), relayed);
+  sums.handle(instant(), direct);
   EXPECT_EQ(sums.make_digest(instant()).m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
-  EXPECT_EQ(sums.gateways(instant()), 40U);
+  EXPECT_EQ(sums.gateway_count(instant()), 40U);
 }
 
 // Symptom: for up to a source's lifetime an aggregator told twice as many requests and gateways of
@@ -148,7 +148,7 @@
   relayed.m_loads = {{kA, 5, 0, 0}};
   zone_summary direct = relayed;
   direct.m_from = {"c", "y", {"10.0.0.1", 3}};
-  const milliseconds silence = aggregator_options{}.m_source_patience;
+  const milliseconds silence = aggregator_options{}.m_source_timeout;
   struct SpeakerCase {
     const char* name;
     bool speaks_before;
@@ -166,16 +166,16 @@
     SCOPED_TRACE(test.name);
     aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
     instant now;
-    sums.set_speaks(now, test.speaks_before);
-    sums.take(now, test.before);
+    sums.set_representative(now, test.speaks_before);
+    sums.handle(now, test.before);
     now += test.between;
     bool takes_over = test.after.m_from.m_zone != "z" && test.between == milliseconds(0);
-    sums.set_speaks(now, takes_over);
-    sums.take(now, test.after);
-    digest told = sums.make_digest(now);
-    EXPECT_EQ(told.m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
-    EXPECT_EQ(told.m_gateways, 40U);
-    EXPECT_EQ(told.m_without_ledger, 4U);
+    sums.set_representative(now, takes_over);
+    sums.handle(now, test.after);
+    digest loads_by_runner = sums.make_digest(now);
+    EXPECT_EQ(loads_by_runner.m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
+    EXPECT_EQ(loads_by_runner.m_gateways, 40U);
+    EXPECT_EQ(loads_by_runner.m_without_ledger, 4U);
   }
 }
 
@@ -183,10 +183,10 @@
   aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
   member_report report = ReportFrom("own", "z");
   report.m_loads = {{kA, 0, 9, 9}};
-  sums.take(instant(), report);
-  sums.set_speaks(instant(), true);
+  sums.handle(instant(), report);
+  sums.set_representative(instant(), true);
   EXPECT_TRUE(sums.make_summary(instant()).m_loads.empty()) << "old losses would count as new";
-  sums.take(instant(), report);
+  sums.handle(instant(), report);
   EXPECT_EQ(sums.make_summary(instant()).m_loads, (std::vector<runner_load>{{kA, 0, 9, 9}}));
 }
 
--- a/tests/aggregation/member_view_test.cc
+++ b/tests/aggregation/member_view_test.cc
@@ -37,19 +37,19 @@
       }
     }
     told.m_full = full;
-    told.m_in_contact = true;
+    told.m_store_reachable = true;
     told.m_gateways = 50;
     return told;
   }
   std::uint16_t Primary(milliseconds at) {
-    for (const report_target& target : view_.targets(instant() + at)) {
+    for (const report_target& target : view_.report_targets(instant() + at)) {
       if (target.m_primary) {
         return target.m_endpoint.port;
       }
     }
     return 0;
   }
-  bool Take(const digest& told, milliseconds at) { return view_.take(instant() + at, told); }
+  bool Take(const digest& told, milliseconds at) { return view_.handle(instant() + at, told); }
 
   slot_table table_;
   member_view view_{Gateway("g", "z", 9)};
@@ -59,7 +59,7 @@
   for (const char* name : {"a", "b", "c"}) {
     Take(From(name), milliseconds(0));
   }
-  std::vector<report_target> targets = view_.targets(instant());
+  std::vector<report_target> targets = view_.report_targets(instant());
   ASSERT_EQ(targets.size(), 3U);
   for (const report_target& target : targets) {
     EXPECT_LE(target.m_endpoint.port, 3);
@@ -71,7 +71,7 @@
   for (int number = 0; number < 300; ++number) {
     member_view view(Gateway("g" + std::to_string(number), "z", 9));
     view.set_slots(table_);
-    for (const report_target& target : view.targets(instant())) {
+    for (const report_target& target : view.report_targets(instant())) {
       preferred[target.m_endpoint.port] += target.m_primary ? 1 : 0;
     }
   }
@@ -104,7 +104,7 @@
   for (const char* name : {"a", "b", "c"}) {
     Take(From(name), milliseconds(0));
   }
-  std::vector<report_target> targets = view_.targets(instant() + milliseconds(2000));
+  std::vector<report_target> targets = view_.report_targets(instant() + milliseconds(2000));
   EXPECT_EQ(targets.size(), 5U) << "the lost ones may come back";
   std::string stand_in = table_["y"][0].m_holder->m_name;
   for (const char* name : {"d", "e", "f"}) {
@@ -115,26 +115,26 @@
 
 TEST_F(MemberViewTest, AggregatorThatTheSlotsDoNotNameYetIsReportedToWhileItSpeaks) {
   member_view fresh(Gateway("g", "z", 9));
-  EXPECT_TRUE(fresh.targets(instant()).empty());
-  fresh.take(instant(), From("a", /*full=*/false));
-  ASSERT_EQ(fresh.targets(instant()).size(), 1U);
-  EXPECT_TRUE(fresh.targets(instant())[0].m_primary);
+  EXPECT_TRUE(fresh.report_targets(instant()).empty());
+  fresh.handle(instant(), From("a", /*full=*/false));
+  ASSERT_EQ(fresh.report_targets(instant()).size(), 1U);
+  EXPECT_TRUE(fresh.report_targets(instant())[0].m_primary);
 }
 
 TEST_F(MemberViewTest, OwnShareIsTakenOffADigest) {
-  view_.note_reported(instant(), {{kRunner, 2, 3, 1}});
-  std::vector<runner_load> others = view_.without_own({{kRunner, 7, 4, 1}, {6, 1, 0, 0}});
+  view_.record_reported(instant(), {{kRunner, 2, 3, 1}});
+  std::vector<runner_load> others = view_.subtract_own({{kRunner, 7, 4, 1}, {6, 1, 0, 0}});
   ASSERT_EQ(others.size(), 2U);
   EXPECT_EQ(others[0], (runner_load{kRunner, 5, 1, 0}));
   EXPECT_EQ(others[1], (runner_load{6, 1, 0, 0}));
-  others = view_.without_own({{kRunner, 7, 4, 1}});
+  others = view_.subtract_own({{kRunner, 7, 4, 1}});
   EXPECT_EQ(others[0], (runner_load{kRunner, 5, 4, 1})) << "own outcomes come back once";
 }
 
 TEST_F(MemberViewTest, OwnOutcomesThatGotLostAreNotTakenOffLaterOnes) {
-  view_.note_reported(instant(), {{kRunner, 0, 5, 0}});
-  view_.note_reported(instant() + milliseconds(2100), {});
-  EXPECT_EQ(view_.without_own({{kRunner, 0, 3, 0}})[0].m_served, 3);
+  view_.record_reported(instant(), {{kRunner, 0, 5, 0}});
+  view_.record_reported(instant() + milliseconds(2100), {});
+  EXPECT_EQ(view_.subtract_own({{kRunner, 0, 3, 0}})[0].m_served, 3);
 }
 
 TEST_F(MemberViewTest, ContactAndCountsGoWithSilence) {
@@ -142,16 +142,17 @@
   told.m_without_ledger = 4;
   told.m_with_ledger = {{"10.0.0.1", 21}, {"10.0.0.1", 9}, {"10.0.0.1", 22}};
   Take(told, milliseconds(0));
-  EXPECT_TRUE(view_.hears_contact(instant() + milliseconds(1500)));
+  EXPECT_TRUE(view_.any_reaches_store(instant() + milliseconds(1500)));
   EXPECT_EQ(view_.gateways_without_ledger(instant() + milliseconds(1500)), 4U);
-  EXPECT_EQ(view_.with_ledger(instant() + milliseconds(1500), 4).size(), 2U) << "not itself";
-  EXPECT_FALSE(view_.hears_contact(instant() + milliseconds(1700)));
+  EXPECT_EQ(view_.gateways_with_ledger(instant() + milliseconds(1500), 4).size(), 2U)
+      << "not itself";
+  EXPECT_FALSE(view_.any_reaches_store(instant() + milliseconds(1700)));
   EXPECT_EQ(view_.gateways_without_ledger(instant() + milliseconds(1700)), 0U);
-  EXPECT_TRUE(view_.with_ledger(instant() + milliseconds(1700), 4).empty());
-  EXPECT_EQ(view_.gateways(), 50U) << "silence is no proof that they are gone";
-  told.m_in_contact = false;
+  EXPECT_TRUE(view_.gateways_with_ledger(instant() + milliseconds(1700), 4).empty());
+  EXPECT_EQ(view_.gateway_count(), 50U) << "silence is no proof that they are gone";
+  told.m_store_reachable = false;
   Take(told, milliseconds(1700));
-  EXPECT_FALSE(view_.hears_contact(instant() + milliseconds(1700)));
+  EXPECT_FALSE(view_.any_reaches_store(instant() + milliseconds(1700)));
 }
 
 // The store turned away one machine of each zone at once, the three that watched it. The others
@@ -162,39 +163,40 @@
 TEST_F(MemberViewTest, AggregatorThatSaysItLostTheStoreCountsNoLonger) {
   zone_summary own;
   own.m_from = Gateway("a", "z", 1);
-  own.m_in_contact = true;
-  view_.take(instant(), own);
+  own.m_store_reachable = true;
+  view_.handle(instant(), own);
   zone_summary foreign;
   foreign.m_from = Gateway("d", "y", 4);
-  foreign.m_in_contact = true;
-  view_.take(instant(), foreign);
-  view_.take(instant(), From("b"));
-  EXPECT_TRUE(view_.own_zone_has_contact(instant()));
-  EXPECT_TRUE(view_.other_zone_has_contact(instant()));
-  EXPECT_TRUE(view_.hears_contact(instant()));
+  foreign.m_store_reachable = true;
+  view_.handle(instant(), foreign);
+  view_.handle(instant(), From("b"));
+  EXPECT_TRUE(view_.own_zone_reaches_store(instant()));
+  EXPECT_TRUE(view_.other_zone_reaches_store(instant()));
+  EXPECT_TRUE(view_.any_reaches_store(instant()));
 
   instant later = instant() + milliseconds(100);
-  own.m_in_contact = false;
-  view_.take(later, own);
-  EXPECT_FALSE(view_.own_zone_has_contact(later));
-  EXPECT_TRUE(view_.other_zone_has_contact(later)) << "said by another";
-  foreign.m_in_contact = false;
-  view_.take(later, foreign);
-  EXPECT_FALSE(view_.other_zone_has_contact(later));
-  EXPECT_TRUE(view_.hears_contact(later)) << "by a digest";
+  own.m_store_reachable = false;
+  view_.handle(later, own);
+  EXPECT_FALSE(view_.own_zone_reaches_store(later));
+  EXPECT_TRUE(view_.other_zone_reaches_store(later)) << "said by another";
+  foreign.m_store_reachable = false;
+  view_.handle(later, foreign);
+  EXPECT_FALSE(view_.other_zone_reaches_store(later));
+  EXPECT_TRUE(view_.any_reaches_store(later)) << "by a digest";
   digest without = From("b");
-  without.m_in_contact = false;
-  view_.take(later, without);
-  EXPECT_FALSE(view_.hears_contact(later));
+  without.m_store_reachable = false;
+  view_.handle(later, without);
+  EXPECT_FALSE(view_.any_reaches_store(later));
 }
 
 TEST_F(MemberViewTest, WhatAnAggregatorTellsOfItsZoneAndOfItselfAreKeptApart) {
-  view_.take(instant(), From("a"));
+  view_.handle(instant(), From("a"));
   zone_summary sums;
   sums.m_from = Gateway("a", "z", 1);
-  sums.m_in_contact = false;
-  view_.take(instant(), sums);
-  EXPECT_TRUE(view_.hears_contact(instant())) << "its digest says that another zone has contact";
+  sums.m_store_reachable = false;
+  view_.handle(instant(), sums);
+  EXPECT_TRUE(view_.any_reaches_store(instant()))
+      << "its digest says that another zone has contact";
 }
 
 }  // namespace
--- a/tests/aggregation/slots_test.cc
+++ b/tests/aggregation/slots_test.cc
@@ -16,15 +16,16 @@
 
 class SlotClaimsTest : public ::testing::Test {
  protected:
-  std::optional<slot_claim> Next(slot_claims& claims, milliseconds at) {
-    auto claim = claims.due({instant() + at, &heard_}, table_);
+  std::optional<slot_claim> Next(slot_claim_policy& claims, milliseconds at) {
+    auto claim = claims.next_claim({instant() + at, &heard_}, table_);
     if (claim) {
-      claims.note_tried(instant() + at, *claim);
+      claims.record_attempt(instant() + at, *claim);
     }
     return claim;
   }
   /// When the gateway first tries for a slot, or nothing within a minute.
-  std::optional<milliseconds> FirstTry(slot_claims& claims, milliseconds from = milliseconds(0)) {
+  std::optional<milliseconds> FirstTry(slot_claim_policy& claims,
+                                       milliseconds from = milliseconds(0)) {
     for (milliseconds at = from; at < milliseconds(60000); at += milliseconds(50)) {
       if (hears_others_) {
         heard_["other"] = instant() + at;
@@ -47,7 +48,7 @@
 TEST_F(SlotClaimsTest, VacantSlotIsTakenAfterAPauseOfItsOwn) {
   std::set<milliseconds> tries;
   for (int number = 0; number < 40; ++number) {
-    slot_claims claims(Gateway("g" + std::to_string(number)), 0.5);
+    slot_claim_policy claims(Gateway("g" + std::to_string(number)), 0.5);
     auto at = FirstTry(claims);
     ASSERT_TRUE(at);
     EXPECT_LE(*at, milliseconds(1000));
@@ -60,18 +61,18 @@
 // tenth of a second after the other: its own claim did not stand there yet. The zone had one
 // aggregator, and when that one was killed, nobody told its restarted neighbour anything for 4.5 s.
 TEST_F(SlotClaimsTest, GatewayThatHasJustTakenASlotTakesNoOtherBeforeItSeesIt) {
-  slot_claims claims(Gateway("g"), 0.5);
+  slot_claim_policy claims(Gateway("g"), 0.5);
   auto first = FirstTry(claims);
   ASSERT_TRUE(first);
-  claims.note_taken(instant() + *first);
+  claims.record_claim(instant() + *first);
   auto second = FirstTry(claims, *first + milliseconds(50));
   ASSERT_TRUE(second) << "the answer may have been lost, and nothing taken";
-  EXPECT_GE(*second - *first, slot_options().m_retry);
+  EXPECT_GE(*second - *first, slot_options().m_retry_interval);
 }
 
 TEST_F(SlotClaimsTest, MachineWithLittleProcessorLetsOthersTryFirst) {
-  slot_claims strong(Gateway("g"), 0.5);
-  slot_claims weak(Gateway("g"), 0.12);
+  slot_claim_policy strong(Gateway("g"), 0.5);
+  slot_claim_policy weak(Gateway("g"), 0.12);
   auto first = FirstTry(strong);
   auto second = FirstTry(weak);
   ASSERT_TRUE(first && second);
@@ -80,14 +81,14 @@
 
 TEST_F(SlotClaimsTest, HolderOfASlotTakesNoOther) {
   Fill(1, "g");
-  slot_claims claims(Gateway("g"), 0.5);
-  EXPECT_EQ(claims.held(table_), 1U);
+  slot_claim_policy claims(Gateway("g"), 0.5);
+  EXPECT_EQ(claims.held_slot(table_), 1U);
   EXPECT_FALSE(FirstTry(claims));
 }
 
 TEST_F(SlotClaimsTest, HolderThatCameBackAtAnotherAddressWritesItDown) {
   table_["z"][1] = {contact{"g", "z", {"10.0.0.9", 1}}, 12};
-  slot_claims claims(Gateway("g"), 0.5);
+  slot_claim_policy claims(Gateway("g"), 0.5);
   auto claim = Next(claims, milliseconds(0));
   ASSERT_TRUE(claim);
   EXPECT_EQ(claim->m_slot, 1U);
@@ -98,7 +99,7 @@
   Fill(0, "a");
   Fill(1, "b");
   Fill(2, "silent");
-  slot_claims claims(Gateway("g"), 0.5);
+  slot_claim_policy claims(Gateway("g"), 0.5);
   for (milliseconds at(0); at < milliseconds(3000); at += milliseconds(100)) {
     for (const char* holder : {"a", "b", "silent"}) {
       heard_[holder] = instant() + at;
@@ -121,12 +122,12 @@
   Fill(0, "a");
   Fill(1, "b");
   Fill(2, "c");
-  slot_claims alone(Gateway("g"), 0.5);
+  slot_claim_policy alone(Gateway("g"), 0.5);
   auto cut_off = FirstTry(alone);
   ASSERT_TRUE(cut_off) << "all may be gone for good";
   EXPECT_GE(*cut_off, milliseconds(10000));
   hears_others_ = true;
-  slot_claims in_touch(Gateway("g"), 0.5);
+  slot_claim_policy in_touch(Gateway("g"), 0.5);
   auto in_touch_try = FirstTry(in_touch);
   ASSERT_TRUE(in_touch_try);
   EXPECT_LT(*in_touch_try, milliseconds(6000));
@@ -134,7 +135,7 @@
 
 TEST_F(SlotClaimsTest, HolderThatBecameKnownLateIsGivenItsTimeFromThenOn) {
   // The simulated fleet of 1,400: aggregators known only after four seconds were replaced at once.
-  slot_claims claims(Gateway("g"), 0.5);
+  slot_claim_policy claims(Gateway("g"), 0.5);
   Fill(0, "g-other");
   hears_others_ = true;
   heard_["other"] = instant();
@@ -152,7 +153,7 @@
 }
 
 TEST_F(SlotClaimsTest, SlotThatWasJustTriedForIsNotTriedForAgainAtOnce) {
-  slot_claims claims(Gateway("g"), 0.5);
+  slot_claim_policy claims(Gateway("g"), 0.5);
   auto at = FirstTry(claims);
   ASSERT_TRUE(at);
   std::size_t tries = 0;
--- a/tests/aggregation/watching_test.cc
+++ b/tests/aggregation/watch_policy_test.cc
@@ -1,5 +1,5 @@
 // When gateways begin to watch the store themselves.
-#include "aggregation/watching.h"
+#include "aggregation/watch_policy.h"
 
 #include <gtest/gtest.h>
 
@@ -9,10 +9,10 @@
 using std::chrono::milliseconds;
 
 /// @return when the gateway begins to watch, or nothing within a minute.
-std::optional<milliseconds> Begins(watch_decision& decision, watch_view seen) {
+std::optional<milliseconds> Begins(watch_policy& decision, watch_state seen) {
   for (milliseconds at(0); at < milliseconds(60000); at += milliseconds(100)) {
     seen.m_now = instant() + at;
-    if (decision.judge(seen)) {
+    if (decision.should_watch(seen)) {
       return at;
     }
   }
@@ -23,10 +23,10 @@
 // in a second after the one that watches for its zone had lost the store was too late for a change
 // just after.
 TEST(WatchDecisionTest, OtherAggregatorsStandInWithinAFractionOfTheBounds) {
-  watch_decision decision("g");
-  watch_view seen;
-  seen.m_aggregates = true;
-  seen.m_hears_contact = true;
+  watch_policy decision("g");
+  watch_state seen;
+  seen.m_is_aggregator = true;
+  seen.m_any_reaches_store = true;
   auto begins = Begins(decision, seen);
   ASSERT_TRUE(begins);
   EXPECT_LE(*begins, milliseconds(500));
@@ -34,15 +34,15 @@
 }
 
 TEST(WatchDecisionTest, OrdinaryGatewayWaitsLongerAndNotAtAllWhileSomebodyIsInContact) {
-  watch_decision decision("g");
-  watch_view seen;
-  seen.m_hears_contact = true;
+  watch_policy decision("g");
+  watch_state seen;
+  seen.m_any_reaches_store = true;
   EXPECT_FALSE(Begins(decision, seen));
-  watch_decision alone("g");
-  seen.m_hears_contact = false;
+  watch_policy alone("g");
+  seen.m_any_reaches_store = false;
   auto begins = Begins(alone, seen);
   ASSERT_TRUE(begins);
-  EXPECT_GE(*begins, watch_options().m_any_after);
+  EXPECT_GE(*begins, watch_options().m_fallback_delay);
 }
 
 }  // namespace
