--- a/src/aggregation/aggregator.cc
+++ b/src/aggregation/aggregator.cc
@@ -60,7 +60,7 @@
     {
         m_zones.erase(m_self.m_zone);
         m_other_loads.update(now, m_self.m_zone, {});
-        // What came before was told by the aggregator that spoke then.
+        // The previous representative has already sent earlier outcomes.
         m_zone_updates = pending_updates(m_options.m_max_placements);
         m_other_updates = pending_updates(m_options.m_max_placements);
     }
@@ -100,7 +100,7 @@
 
 void aggregator::drop_superseded(instant now, const std::string& zone)
 {
-    // Told on by this zone's speaker are all other zones' sums at once: each kind contains the other.
+    // A relayed summary has the totals of all other zones, so adding both kinds would count them twice.
     bool from_relay = zone == m_self.m_zone;
     for (const auto& [name, other] : m_zones)
     {
@@ -123,7 +123,7 @@
     std::erase_if(m_members,
                   [&](const auto& entry)
                   {
-                      // Another zone's gateway goes back to its own aggregators.
+                      // A gateway of another zone returns to its own aggregators.
                       bool is_own = entry.second.m_contact.m_zone == m_self.m_zone;
                       auto retention = is_own ? m_options.m_retention : m_options.m_lifetime;
                       return now - entry.second.m_last_seen > retention;
@@ -199,7 +199,7 @@
     summary.m_from = m_self;
     for (const auto& [name, zone] : m_zones)
     {
-        // What an aggregator of this zone told on isn't told on again.
+        // A relayed summary is not relayed again.
         bool live = now - zone.m_last_seen <= m_options.m_lifetime && name != m_self.m_zone;
         summary.m_gateways += live ? zone.m_gateways : 0;
         summary.m_without_ledger += live ? zone.m_without_ledger : 0;
--- a/src/aggregation/aggregator.h
+++ b/src/aggregation/aggregator.h
@@ -1,8 +1,8 @@
-// An aggregator's side: sums what its zone's gateways and the other zones' aggregators tell, and says
-// what to tell whom. Decision code: no I/O, no clock.
+// Aggregates the reports of a zone's gateways and the summaries of other zones. Decision logic: no I/O, no
+// clock.
 //
-// What it keeps and sends grows with its zone's gateways, which are capped, and with the zones that it
-// exchanges sums with, which are capped too. See docs/design/0007.
+// Memory and traffic grow with the gateways of the zone and with the zones that summaries are exchanged
+// with; both are bounded. See docs/design/0007.
 #pragma once
 
 #include <chrono>
@@ -21,29 +21,31 @@
 namespace martenyard::aggregation
 {
 
-/// @brief named knobs of an aggregator
+/// @brief tuning parameters of an aggregator
 struct aggregator_options
 {
-    /// a gateway or zone silent for this long counts as having no requests; they report each second
+    /// loads of a gateway or zone without a message for this time are removed; both send at least one a
+    /// second
     std::chrono::milliseconds m_lifetime{1600};
-    /// a gateway silent for this long is forgotten; until then it gets short digests, so that it finds
-    /// its aggregators also when it restarts while the store turns it away
+    /// a gateway without a report for this time is removed; until then it is sent short digests, so that it
+    /// finds its aggregators if it restarts without access to the store
     std::chrono::milliseconds m_retention{60000};
-    /// gateways of the zone that are taken; a larger zone needs more aggregators
+    /// maximum number of members of the own zone
     std::size_t m_max_members = 128;
-    /// gateways of other zones that are taken besides, while their own aggregators are lost
+    /// maximum number of members of other zones, which report here while their own aggregators are lost
     std::size_t m_max_foreign = 32;
-    /// placements passed on in one message: 64 of 16 bytes keep it below a packet
+    /// placements per message; 64 of 16 bytes fit into one packet
     std::size_t m_max_placements = 64;
-    /// bytes a second of full digests to one gateway: two thirds of the 12 KB/s that control may use
+    /// rate limit of full digests to one gateway, in bytes; two thirds of its control traffic budget of 12
+    /// KB/s
     std::size_t m_digest_bytes_per_second = 8000;
-    /// between full digests at least
+    /// minimum time between full digests
     std::chrono::milliseconds m_min_interval{100};
-    /// between short digests to a gateway that goes by another aggregator's
+    /// time between short digests to a gateway that has another primary
     std::chrono::milliseconds m_short_interval{500};
-    /// after this time without the summary that was taken, another aggregator's of the zone is
+    /// after this time without a summary from the same aggregator, another one of its zone is accepted
     std::chrono::milliseconds m_source_timeout{500};
-    /// gateways named in a digest as ones that reach the ledger
+    /// number of gateways with access to the ledger that are listed in a digest
     std::size_t m_listed_with_ledger = 4;
 };
 
@@ -58,52 +60,52 @@
     instant m_short_digest_sent;
 };
 
-/// @brief sums, and what follows from them
+/// @brief sums of all zones, and the messages built from them
 class aggregator
 {
   public:
     aggregator(contact self, std::uint64_t seed, const aggregator_options& options = {});
 
-    /// @brief a gateway of the zone, or one whose own aggregators are gone, told what it does
+    /// @brief handles a report from a gateway of the zone, or from one whose own aggregators are lost
     void handle(instant now, const member_report& report);
 
-    /// @brief an aggregator of another zone told its zone's sums, or one of this zone told on those of
-    ///        all others
+    /// @brief handles a summary of another zone, or one of all other zones relayed by an aggregator of this
+    ///        zone
     void handle(instant now, const zone_summary& summary);
 
-    /// @brief whether this aggregator exchanges sums with other zones for its own; if not, it goes by
-    ///        what the one that does tells on
+    /// @brief sets whether this aggregator represents its zone; if not, it uses the summaries that the
+    ///        representative relays
     void set_representative(instant now, bool is_representative);
 
-    /// @brief forgets who fell silent
+    /// @brief removes gateways and zones without a recent message
     void expire(instant now);
 
-    /// @return this zone's sums; what became of requests since the last call is told once
+    /// @return the totals of this zone, with the outcomes since the last call
     zone_summary make_summary(instant now);
 
-    /// @return the sums of the other zones, for the zone's other aggregators; what became of requests
-    ///         since the last call is told once
+    /// @return the totals of the other zones for the other aggregators of this zone, with the outcomes since
+    ///         the last call
     zone_summary make_relayed_summary(instant now);
 
-    /// @return the sums of all zones; what became of requests since the last call is told once
+    /// @return the totals of all zones, with the outcomes since the last call
     digest make_digest(instant now);
 
     /// @return a digest without loads
     digest make_short_digest(instant now);
 
-    /// @return whether the next full digest is due, by the size of the last one
+    /// @return whether the next full digest is due; the interval depends on the size of the last one
     bool digest_is_due(instant now) const;
 
-    /// @brief a full digest of this size was sent
+    /// @brief records that a full digest of this size was sent
     void record_digest_sent(instant now, std::size_t bytes);
 
-    /// @return where the gateways are that go by this aggregator's full digests
+    /// @return the addresses of the gateways that have this aggregator as their primary
     std::vector<wire::Endpoint> primary_members(instant now) const;
 
-    /// @return where the others are whose short digest is due; they count as told
+    /// @return the addresses of the other gateways whose short digest is due; it is recorded as sent
     std::vector<wire::Endpoint> take_short_digest_due(instant now);
 
-    /// @return all gateways that reported, by name
+    /// @return all known gateways, by name
     const std::map<std::string, member>& members() const
     {
         return m_members;
@@ -111,29 +113,29 @@
 
     bool is_live(instant now, const member& gateway) const;
 
-    /// @return whether a gateway was heard lately
+    /// @return whether the gateway is a member and has reported recently
     bool has_live_member(instant now, const std::string& name) const;
 
-    /// @return gateways of all zones that were heard of lately, this one included
+    /// @return the number of live gateways of all zones, including this one
     std::uint32_t gateway_count(instant now) const;
 
   private:
-    /// What one zone's aggregators told last.
+    /// latest totals of another zone, or of all other zones if relayed
     struct zone_state
     {
         instant m_last_seen;
-        /// the aggregator whose counts are taken: several tell the same
+        /// the aggregator whose summaries are accepted, since several may send the same totals
         std::string m_source;
         std::uint32_t m_gateways = 0;
         std::uint32_t m_without_ledger = 0;
     };
 
-    /// @return whether a gateway that reports for the first time can be taken
+    /// @return whether a new gateway can be added to the members
     bool has_room_for(const contact& gateway) const;
-    /// @return whether the sums of this other zone count, or what an aggregator of this zone told on
+    /// @return whether to accept a summary of this zone: either relayed or direct summaries are used
     bool accepts_summary_of(instant now, const std::string& zone) const;
-    /// @brief this zone's sums were taken: drops those of the other kind, told on or the zones' own,
-    ///        which the taken ones contain
+    /// @brief a summary was accepted: drops the totals of the other kind, relayed or direct, since these
+    ///        cover the same gateways
     void drop_superseded(instant now, const std::string& zone);
     template <typename Predicate>
     std::uint32_t count_members(instant now, Predicate predicate) const;
--- a/src/aggregation/change_propagation.h
+++ b/src/aggregation/change_propagation.h
@@ -1,7 +1,8 @@
-// Who is told the store's changes by whom. Decision code: no I/O, no clock.
+// Decides which store changes are pushed to which gateways and queried from which peers. Decision logic:
+// no I/O, no clock.
 //
-// Aggregators watch the store and push what changed to the gateways that go by their digests. What gets
-// lost, or what an aggregator doesn't know, is asked for: one question a prefix at a time.
+// Aggregators watch the store and push changes to the gateways that use them as their primary. Changes that
+// were lost or that an aggregator lacks are queried from peers, with one query per mirror at a time.
 #pragma once
 
 #include <array>
@@ -19,63 +20,62 @@
 namespace martenyard::aggregation
 {
 
-/// @brief changes to send without being asked
+/// @brief changes to send to a gateway that has not requested them
 struct change_push
 {
     wire::Endpoint m_to;
     std::size_t m_mirror = 0;
-    /// the last change that the receiver knows
+    /// revision of the last change that the receiver has
     std::uint64_t m_since = 0;
 };
 
-/// @brief changes to ask for
+/// @brief changes to request from a peer
 struct change_query
 {
     wire::Endpoint m_peer;
     std::size_t m_mirror = 0;
 };
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct change_propagation_options
 {
-    /// before the same changes are pushed to the same gateway again: its next report, a tenth of a
-    /// second later, tells that they came
+    /// time before the same changes are pushed again; must leave time for the receiver's next report, which
+    /// acknowledges them
     std::chrono::milliseconds m_push_retry_interval{400};
-    /// a gateway that goes by another aggregator's digests is helped after it was behind for this long
+    /// a gateway with another primary is sent changes after it has lagged behind for this time
     std::chrono::milliseconds m_secondary_push_delay{800};
-    /// what a push or a watch should bring is asked for after this time
+    /// time that a push or a watch has to deliver a change before it is queried
     std::chrono::milliseconds m_query_delay{400};
-    /// before the next question for the same prefix: its answer is on the way
+    /// minimum time between two queries for the same mirror
     std::chrono::milliseconds m_query_interval{400};
-    /// who was not heard for this long isn't asked
+    /// peers without a message for this time are not queried
     std::chrono::milliseconds m_peer_lifetime{1600};
-    /// pushes at a time: a machine's link of 30 Mbit/s carries eight whole copies of 45 KB in a tenth of
-    /// a second
+    /// pushes per call; eight full mirrors of 45 KB take 0.1 s on a 30 Mbit/s link
     std::size_t m_max_pushes = 8;
 };
 
-/// @brief decides on pushes and questions
+/// @brief decides on pushes and queries
 class change_propagation
 {
   public:
     explicit change_propagation(std::uint64_t seed, const change_propagation_options& options = {});
 
-    /// @brief a peer told the last changes that it knows
+    /// @brief records the revisions that a peer reported
     void record_revisions(instant now, const contact& peer, const mirror_revisions& revisions);
 
-    /// @brief forgets peers that fell silent
+    /// @brief removes peers that stopped sending messages
     void expire(instant now);
 
-    /// @param[in] own    the last changes that this gateway knows
-    /// @param[in] first  gateways that are told at once although they go by nobody's digests: the zone's
-    ///                   other aggregators, which tell theirs
-    /// @return what an aggregator should push now; it counts as pushed
+    /// @param[in] own        the revisions of this gateway's mirrors
+    /// @param[in] immediate  gateways without a primary that are sent changes without delay: the other
+    ///                       aggregators of the zone, which push them to their own gateways
+    /// @return the pushes that are due; they are recorded as sent
     std::vector<change_push> take_due_pushes(instant now, const mirror_revisions& own,
                                              const aggregator& own_aggregator,
                                              const std::vector<contact>& immediate = {});
 
-    /// @param[in] patient  the changes may still come by a watch or a push
-    /// @return the question that is due for a mirror, if any; it counts as asked
+    /// @param[in] may_wait  a watch or a push may still deliver the changes
+    /// @return the query that is due for a mirror, if any; it is recorded as sent
     std::optional<change_query> next_query(instant now, std::size_t mirror, std::uint64_t own, bool may_wait);
 
   private:
@@ -86,14 +86,14 @@
         mirror_revisions m_revisions{};
     };
 
-    /// Of one gateway and mirror.
+    /// push state of one mirror of one gateway
     struct push_state
     {
         std::optional<instant> m_behind_since;
         std::optional<instant> m_pushed_at;
     };
 
-    /// Of one mirror of this gateway.
+    /// how long one mirror of this gateway has lagged behind its peers
     struct lag_state
     {
         std::optional<instant> m_since;
--- a/src/aggregation/load_sums.cc
+++ b/src/aggregation/load_sums.cc
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// takes as much as fits into a byte
+/// @return as much of `count` as fits into a byte; it is subtracted from `count`
 std::uint8_t take_byte(std::uint32_t& count)
 {
     auto taken =
--- a/src/aggregation/load_sums.h
+++ b/src/aggregation/load_sums.h
@@ -1,4 +1,4 @@
-// Sums of the loads that several sources tell. Decision code: no I/O, no clock.
+// Sums of the loads that several sources report. Decision logic: no I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -16,20 +16,21 @@
 
 /// @brief the latest loads of each source, summed by runner
 ///
-/// Taking a message costs as much as it and the one before are long, whatever the others said.
+/// The cost of an update is linear in the size of the source's previous and new report and independent of
+/// the other sources.
 class load_sums
 {
   public:
-    /// @param[in] lifetime  a source silent for this long counts as having no requests
+    /// @param[in] lifetime  the loads of a source that sends no update for this time are removed
     explicit load_sums(std::chrono::milliseconds lifetime);
 
-    /// @brief replaces what the source said before
+    /// @brief replaces the loads of the source
     void update(instant now, const std::string& source, std::vector<runner_load> loads);
 
-    /// @brief forgets sources that fell silent
+    /// @brief removes sources without a recent update
     void expire(instant now);
 
-    /// @brief adds the sums to others
+    /// @brief adds the sums to `active`
     void add_to(absl::flat_hash_map<std::uint32_t, std::uint32_t>& active) const;
 
   private:
@@ -46,22 +47,22 @@
     absl::flat_hash_map<std::uint32_t, std::int64_t> m_active;
 };
 
-/// @brief what became of requests since the last message, and where prompts were read; each is told once
+/// @brief request outcomes and placements since the last message; each is sent once
 class pending_updates
 {
   public:
-    /// @param[in] most_placements  those beyond are dropped: they only save an engine some reading
+    /// @param[in] max_placements  further placements are dropped; they are only an optimization
     explicit pending_updates(std::size_t max_placements);
 
     void record(const std::vector<runner_load>& loads, const std::vector<placement>& placements);
 
-    /// @brief moves what is pending into the loads of a message, as much as its small counters hold
-    /// @param[in] active  requests under way by runner
+    /// @brief moves pending outcomes into the loads of a message, up to the limit of its 8-bit counters
+    /// @param[in] active  requests in progress by runner
     std::vector<runner_load> take_loads(const absl::flat_hash_map<std::uint32_t, std::uint32_t>& active);
 
     std::vector<placement> take_placements();
 
-    /// @return placements dropped since the start
+    /// @return the number of dropped placements
     std::uint64_t dropped() const
     {
         return m_dropped;
--- a/src/aggregation/member_view.cc
+++ b/src/aggregation/member_view.cc
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// takes the same off both
+/// @brief subtracts the smaller of the two counts from both
 std::uint8_t subtract_echo(std::uint8_t total, std::uint32_t& reported)
 {
     auto own = static_cast<std::uint8_t>(std::min<std::uint32_t>(total, reported));
@@ -39,7 +39,7 @@
             }
         }
     }
-    // Gateways prefer different ones: each aggregator is about as many gateways' primary.
+    // Ranking by a hash of both names balances the gateways among the aggregators.
     auto rank = [this](const contact& aggregator)
     {
         return StableHash(m_self.m_name, StableHash(aggregator.m_name));
@@ -149,7 +149,8 @@
 {
     const std::string& name = received.m_from.m_name;
     record_seen(now, name);
-    // A denial counts at once: others begin to watch only when nobody is taken to be in contact any more.
+    // A report that the store is unreachable takes effect at once, so that other gateways start to watch
+    // the store without waiting for the lost timeout.
     if (received.m_store_reachable)
     {
         m_store_reports[name] = now;
--- a/src/aggregation/member_view.h
+++ b/src/aggregation/member_view.h
@@ -1,5 +1,5 @@
-// A gateway's side: whom it reports to, and what it takes from whose digests. Decision code: no I/O, no
-// clock.
+// A gateway's view of its aggregators: which of them receive its reports, and whose digests it applies.
+// Decision logic: no I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -17,25 +17,25 @@
 namespace martenyard::aggregation
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct member_options
 {
-    /// after this time without a digest another aggregator becomes the primary; full ones come each
-    /// tenth of a second, short ones each half
+    /// after this time without a digest another aggregator becomes the primary; must exceed the interval of
+    /// short digests
     std::chrono::milliseconds m_primary_timeout{700};
-    /// an aggregator silent for this long counts as lost; short digests come each half a second
+    /// an aggregator without a message for this time is considered lost
     std::chrono::milliseconds m_lost_timeout{1600};
-    /// an aggregator silent for this long is removed from what is kept
+    /// the state of an aggregator without a message for this time is removed
     std::chrono::milliseconds m_retention{60000};
-    /// aggregators of other zones that are reported to while the own zone's are lost
+    /// number of other zones' aggregators that receive reports while the own zone's are lost
     std::size_t m_max_foreign_targets = 2;
-    /// own outcomes that did not come back in a digest by then were lost on the way
+    /// reported outcomes that no digest has included by then are considered lost in transit
     std::chrono::milliseconds m_echo_lifetime{2000};
-    /// gateways remembered as ones that reach the ledger
+    /// number of remembered gateways that reach the ledger
     std::size_t m_max_with_ledger = 8;
 };
 
-/// @brief somebody to report to
+/// @brief a receiver of reports
 struct report_target
 {
     wire::Endpoint m_endpoint;
@@ -44,39 +44,39 @@
     friend bool operator==(const report_target&, const report_target&) = default;
 };
 
-/// @brief what a gateway knows of its aggregators and, through them, of all gateways
+/// @brief what a gateway knows about its aggregators and, through them, about all gateways
 class member_view
 {
   public:
     explicit member_view(contact self, const member_options& options = {});
 
-    /// @brief the slots as the store has them now
+    /// @brief replaces the slot table
     void set_slots(const slot_table& table);
 
-    /// @return whom to report to: the own zone's aggregators, or some of other zones' when these are lost
+    /// @return the receivers of reports: the aggregators of the own zone and, while these are lost, some of
+    ///         other zones
     std::vector<report_target> report_targets(instant now) const;
 
-    /// @brief an aggregator told something
-    /// @return whether its loads, outcomes and placements are to be taken: it is the primary
+    /// @return whether to apply the loads, outcomes and placements: the digest is full and from the primary
     bool handle(instant now, const digest& received);
 
-    /// @brief an aggregator of another zone told its zone's sums
+    /// @brief handles a summary of another zone, or one relayed by the own zone's representative
     void handle(instant now, const zone_summary& summary);
 
-    /// @brief gateways of all zones, and those among them without the ledger
+    /// @brief sets the number of gateways of all zones, and of those that do not reach the ledger
     void set_counts(instant now, std::uint32_t gateways, std::uint32_t without_ledger);
 
-    /// @brief this gateway is itself the one whose full digests it goes by
+    /// @brief an aggregator applies its own digests and has no primary
     void set_is_aggregator(bool is_aggregator);
 
-    /// @brief these loads were reported, outcomes included
+    /// @brief records the loads and outcomes that this gateway has reported
     void record_reported(instant now, const std::vector<runner_load>& loads);
 
-    /// @brief takes this gateway's own share off what a full digest told
-    /// @return other gateways' requests under way and what became of theirs
+    /// @brief subtracts this gateway's own share from the loads of a full digest
+    /// @return the loads and outcomes of the other gateways
     std::vector<runner_load> subtract_own(const std::vector<runner_load>& loads);
 
-    /// @return when each aggregator was last heard, by name
+    /// @return the time of the last message from each aggregator, by name
     const std::map<std::string, instant>& last_seen() const
     {
         return m_last_seen;
@@ -84,23 +84,23 @@
 
     bool any_aggregator_alive(instant now) const;
 
-    /// @return whether an aggregator in contact with the store, or told so by one, was heard lately
+    /// @return whether any aggregator recently reported that it or another zone reaches the store
     bool any_reaches_store(instant now) const;
 
-    /// @return whether another zone's aggregator said lately that the store answers it
+    /// @return whether an aggregator of another zone recently reported that it reaches the store
     bool other_zone_reaches_store(instant now) const;
 
-    /// @return whether an aggregator of the own zone told on sums lately while the store answered it
+    /// @return whether the representative of the own zone recently reported that it reaches the store
     bool own_zone_reaches_store(instant now) const;
 
-    /// @return gateways of all zones and those among them without the ledger, as last told
+    /// @return the number of gateways of all zones, and of those that do not reach the ledger
     std::uint32_t gateway_count() const
     {
         return m_gateways;
     }
     std::uint32_t gateways_without_ledger(instant now) const;
 
-    /// @return up to `most` gateways that reach the ledger, as told lately
+    /// @return up to `max_count` gateways that were recently reported to reach the ledger
     std::vector<wire::Endpoint> gateways_with_ledger(instant now, std::size_t max_count) const;
 
   private:
@@ -109,7 +109,7 @@
         std::uint32_t m_active = 0;
         std::uint32_t m_served = 0;
         std::uint32_t m_lost = 0;
-        /// when outcomes were last reported
+        /// time of the last report with outcomes
         instant m_received_at;
     };
 
@@ -120,12 +120,13 @@
     };
 
     bool is_lost(instant now, const std::string& name) const;
-    /// @return the own zone's aggregators but this gateway, the preferred ones first
+    /// @return the other aggregators of the own zone in order of preference
     std::vector<contact> own_aggregators() const;
     std::vector<contact> foreign_aggregators() const;
     std::optional<contact> primary(instant now) const;
     void record_seen(instant now, const std::string& name);
-    /// @return whether one of the zone, or of another one, said so lately in its sums
+    /// @return whether a recent summary from the own zone, or from another zone, reported that its sender
+    ///         reaches the store
     bool zone_reaches_store(instant now, bool own) const;
     bool is_recent(instant now, instant reported_at) const;
     void update_with_ledger(instant now, const std::vector<wire::Endpoint>& endpoints);
@@ -133,10 +134,10 @@
     contact m_self;
     member_options m_options;
     std::vector<contact> m_aggregators;
-    /// by aggregators that the slots don't name, or not yet: what came from them tells where they are
+    /// aggregators that are not in the slot table, with the address from their last digest
     std::map<std::string, contact> m_unlisted;
     std::map<std::string, instant> m_last_seen;
-    /// when an aggregator last told in a digest that the store answers, it or another zone
+    /// time of the last digest from each aggregator that reported the store as reachable
     std::map<std::string, instant> m_store_reports;
 
     struct zone_store_report
@@ -144,7 +145,7 @@
         std::string m_zone;
         instant m_received_at;
     };
-    /// of itself, with the sums that it exchanges
+    /// last summary from each aggregator that reported the store as reachable
     std::map<std::string, zone_store_report> m_zone_store_reports;
     bool m_is_aggregator = false;
     std::uint32_t m_gateways = 1;
--- a/src/aggregation/messages.h
+++ b/src/aggregation/messages.h
@@ -1,5 +1,5 @@
-// What gateways tell the aggregators of their zone, and what these tell them and each other. All of it
-// travels in datagrams; losing one costs speed only, since the next one replaces it.
+// Messages between gateways and aggregators. They are sent as datagrams: a lost one only delays
+// propagation, since the next one replaces it.
 #pragma once
 
 #include <array>
@@ -18,13 +18,13 @@
 
 using instant = std::chrono::steady_clock::time_point;
 
-/// configuration, runners, the ledger's directory, aggregators: the same order at all gateways
+/// configuration, runners, ledger directory, aggregators: in the same order on all gateways
 constexpr std::size_t mirror_count = 4;
 
-/// the revision of the last change known of each mirror's prefix
+/// the revision of the last known change of each mirror
 using mirror_revisions = std::array<std::uint64_t, mirror_count>;
 
-/// @brief a gateway, and where its peers reach it
+/// @brief a gateway and its internal address
 struct contact
 {
     std::string m_name;
@@ -40,16 +40,16 @@
     }
 };
 
-/// @brief requests at one runner: of one gateway, of a zone, or of all zones
+/// @brief request counts of one runner: from one gateway, one zone or all zones
 struct runner_load
 {
-    /// short id, a hash of the runner's own
+    /// short id: a hash of the full runner id
     std::uint32_t m_runner = 0;
-    /// under way now
+    /// requests in progress
     std::uint16_t m_active = 0;
-    /// ended since the sender's last message; small numbers, the rest comes with the next
+    /// requests completed since the sender's last message; counts above 255 carry over to the next message
     std::uint8_t m_served = 0;
-    /// of these, sent without a whole answer
+    /// requests of these that did not get a complete response
     std::uint8_t m_lost = 0;
 
     friend bool operator==(const runner_load&, const runner_load&) = default;
@@ -61,7 +61,7 @@
     }
 };
 
-/// @brief a runner reads this part of a prompt now
+/// @brief a runner has started to process this part of a prompt
 struct placement
 {
     std::uint64_t m_part = 0;
@@ -78,16 +78,16 @@
     }
 };
 
-/// @brief what a gateway is and does: told to its zone's aggregators
+/// @brief state of a gateway, sent to the aggregators of its zone
 struct member_report
 {
     contact m_from;
     mirror_revisions m_revisions{};
-    /// the receiver is the one whose full digests the sender goes by
+    /// the receiver is the sender's primary: the sender applies its full digests
     bool m_primary = false;
-    /// most groups of the ledger don't answer the sender
+    /// most ledger groups do not reply to the sender
     bool m_ledger_unreachable = false;
-    /// runners without a request of the sender are left out
+    /// only runners with requests from the sender
     std::vector<runner_load> m_loads;
     std::vector<placement> m_placements;
 
@@ -98,20 +98,20 @@
     }
 };
 
-/// @brief sums: one zone's, told by its first aggregator to other zones'; or all other zones', told on by
-///        an aggregator to the others of its zone
+/// @brief totals of one zone, sent by its representative to other zones, or totals of all other zones,
+///        relayed by the representative to the other aggregators of its zone
 struct zone_summary
 {
     contact m_from;
     mirror_revisions m_revisions{};
-    /// the sender watches the store, and the store answered last
+    /// the sender watches the store, and the last call succeeded
     bool m_store_reachable = false;
-    /// gateways of the zone, and those among them without the ledger
+    /// number of gateways, and of those that do not reach the ledger
     std::uint32_t m_gateways = 0;
     std::uint32_t m_without_ledger = 0;
     std::vector<runner_load> m_loads;
     std::vector<placement> m_placements;
-    /// some gateways of the zone that reach the ledger; others with each summary
+    /// a random sample of the gateways of the zone that reach the ledger
     std::vector<wire::Endpoint> m_with_ledger;
 
     template <class Archive>
@@ -122,21 +122,21 @@
     }
 };
 
-/// @brief what an aggregator knows of all gateways: told to its zone's
+/// @brief totals of all gateways, sent by an aggregator to the gateways of its zone
 struct digest
 {
     contact m_from;
     mirror_revisions m_revisions{};
-    /// the sender watches the store, and the store answered last
+    /// the sender watches the store and the last call succeeded, or another zone reaches the store
     bool m_store_reachable = false;
-    /// with loads and placements; without, it only tells that the sender is there and what it knows
+    /// includes loads and placements; a short digest only serves as a heartbeat with revisions and counts
     bool m_full = false;
     std::uint32_t m_gateways = 0;
     std::uint32_t m_without_ledger = 0;
-    /// of all gateways, the receiver's own included
+    /// totals of all gateways, including the receiver
     std::vector<runner_load> m_loads;
     std::vector<placement> m_placements;
-    /// some gateways that reach the ledger; others with each digest
+    /// a random sample of the gateways that reach the ledger
     std::vector<wire::Endpoint> m_with_ledger;
 
     template <class Archive>
@@ -147,12 +147,12 @@
     }
 };
 
-/// @brief asks an aggregator when it knew its configuration to be the newest
+/// @brief asks an aggregator when its configuration was last confirmed to be the newest
 struct confirmation_question
 {
-    /// where the answer goes
+    /// address for the reply
     wire::Endpoint m_from;
-    /// comes back with the answer, and tells the asker when it asked
+    /// returned in the reply; encodes the time at which the request was sent
     std::uint64_t m_timestamp = 0;
 
     template <class Archive>
@@ -162,13 +162,13 @@
     }
 };
 
-/// @brief the answer
+/// @brief reply to a @ref confirmation_question
 struct confirmation_answer
 {
     std::uint64_t m_timestamp = 0;
-    /// the revision of the configuration that is in force at the sender
+    /// the revision of the sender's configuration
     std::uint64_t m_revision = 0;
-    /// how long ago that one was known to be the newest
+    /// time since that revision was last confirmed to be the newest
     std::uint32_t m_age_ms = 0;
 
     template <class Archive>
@@ -178,7 +178,7 @@
     }
 };
 
-/// @brief all that gateways send each other as datagrams
+/// @brief all messages that gateways send as datagrams
 using datagram = std::variant<member_report, zone_summary, digest, store::news_request, confirmation_question,
                               confirmation_answer>;
 
--- a/src/aggregation/slots.cc
+++ b/src/aggregation/slots.cc
@@ -131,10 +131,10 @@
     if (auto own = held_slot(table))
     {
         const slot& current = zone->second.at(*own);
-        bool address_changed = *current.m_holder != m_self;  // It was taken from another address.
+        bool address_changed = *current.m_holder != m_self;  // The slot was claimed with another address.
         return address_changed ? std::make_optional(slot_claim{*own, current.m_revision}) : std::nullopt;
     }
-    // One gateway that takes several slots leaves its zone with fewer aggregators for good.
+    // A gateway that holds several slots would permanently reduce the number of aggregators.
     if (m_last_claim && activity.m_now - *m_last_claim < m_options.m_retry_interval)
     {
         return std::nullopt;
--- a/src/aggregation/slots.h
+++ b/src/aggregation/slots.h
@@ -1,8 +1,8 @@
-// Which gateways are their zone's aggregators. Decision code: no I/O, no clock.
+// Election of the aggregators of a zone. Decision logic: no I/O, no clock.
 //
-// Each zone has a few slots, one key each in the store. A gateway that sees a vacant one, or one whose
-// holder it no longer hears, takes it by a conditional write after a pause of its own, so that one of
-// many tries first and the others see its name there.
+// Each zone has a fixed number of slots, each stored under a key of the store. A gateway claims a vacant
+// slot, or one whose holder is unresponsive, by a conditional write after a delay derived from its name, so
+// that usually only one gateway tries.
 #pragma once
 
 #include <algorithm>
@@ -19,44 +19,44 @@
 namespace martenyard::aggregation
 {
 
-/// aggregators of a zone: two may be lost and one still tells the zone's gateways of the others
+/// aggregators per zone; tolerates the loss of two
 constexpr std::size_t slots_per_zone = 3;
 
-/// @brief a slot as the store has it
+/// @brief a slot as recorded in the store
 struct slot
 {
-    /// nobody: the slot is vacant
+    /// empty if the slot is vacant
     std::optional<contact> m_holder;
-    /// of the key's last change; 0 if it was never written
+    /// revision of the last change of the key; 0 if it was never written
     std::uint64_t m_revision = 0;
 };
 
-/// @brief all zones' slots, by zone and number
+/// @brief slots of all zones, by zone and slot number
 using slot_table = std::map<std::string, std::map<std::size_t, slot>>;
 
-/// @brief a slot to take
+/// @brief a conditional write that claims a slot
 struct slot_claim
 {
     std::size_t m_slot = 0;
-    /// the write's condition
+    /// the write succeeds only if the key still has this revision
     std::uint64_t m_revision = 0;
 };
 
-/// @return the zones that `zone` exchanges sums with: the next ones on both sides in the circle of names.
-///         News of the store reach all others through them
+/// @return the zones that `zone` exchanges summaries with: the nearest ones on both sides in the ring of
+///         zone names; changes reach the other zones through them
 std::vector<std::string> neighbor_zones(const slot_table& table, const std::string& zone,
                                         std::size_t max_count);
 
-/// @return a zone's aggregators, in the order of their slots
+/// @return the aggregators of a zone in slot order
 std::vector<contact> slot_holders(const slot_table& table, const std::string& zone);
 
-/// @return the zone whose gateways tell a storage machine what the store has: its own, or where no gateway
-///         holds a slot there, one of the others; empty if there is none
+/// @return the zone whose representative announces store changes to a storage machine: its own zone, or
+///         another one if no gateway holds a slot there; empty if no zone has an aggregator
 std::string announcing_zone(const slot_table& table, const std::string& machine, const std::string& zone);
 
-/// @param[in] hears  whether an aggregator was heard lately
-/// @return the zone's first aggregator that is heard, or `self` if none before it is: it watches the store
-///         and exchanges sums with other zones for the zone
+/// @param[in] is_alive  whether a message from an aggregator was received recently
+/// @return the representative of the zone, which watches the store and exchanges summaries with other
+///         zones: the first aggregator in slot order that is alive or is `self`, or else `self`
 template <typename Hears>
 contact zone_representative(const slot_table& table, const contact& self, Hears is_alive)
 {
@@ -70,8 +70,8 @@
     return self;
 }
 
-/// @param[in] hears  whether an aggregator was heard lately
-/// @return of each near zone the aggregator that speaks for it, or all of them while none does
+/// @param[in] is_alive  whether a message from an aggregator was received recently
+/// @return the representative of each neighbor zone, or all aggregators of a zone if none is alive
 template <typename Hears>
 std::vector<wire::Endpoint> summary_targets(const slot_table& table, const contact& self, Hears is_alive,
                                             std::size_t max_zones)
@@ -94,62 +94,62 @@
     return targets;
 }
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct slot_options
 {
-    /// machines with a smaller share of a core take a slot only after this time
+    /// machines with a smaller share of a core claim a slot later, by @ref m_low_cpu_delay
     double m_low_cpu_share = 0.2;
     std::chrono::milliseconds m_low_cpu_delay{600};
-    /// the pauses of a zone's gateways lie spread over this time. The store's answer takes some
-    /// milliseconds and fifty gateways may want the slot: one in twenty milliseconds
+    /// claim delays are distributed over this time; must be much longer than a store round trip for each
+    /// gateway of a zone
     std::chrono::milliseconds m_jitter{1000};
-    /// a holder that was not heard for this long is replaced. A process restarts within a second
+    /// an unresponsive holder is replaced after this time; must exceed the time of a process restart
     std::chrono::milliseconds m_holder_timeout{4000};
-    /// while no aggregator at all is heard, this gateway may be the one that is cut off
+    /// the same while no aggregator is alive: this gateway may be the one that is partitioned
     std::chrono::milliseconds m_isolated_timeout{10000};
-    /// before the same slot is tried for again
+    /// minimum time between two claims of the same slot
     std::chrono::milliseconds m_retry_interval{1500};
 };
 
-/// @brief decides when to take a slot
+/// @brief decides when to claim a slot
 class slot_claim_policy
 {
   public:
-    /// @param[in] processor_share  of one core, that the machine may use
+    /// @param[in] processor_share  share of one core that is available to this machine
     slot_claim_policy(contact self, double processor_share, const slot_options& options = {});
 
-    /// @brief what the gateway hears of aggregators
+    /// @brief when this gateway last received messages from aggregators
     struct peer_activity
     {
         instant m_now;
-        /// when each aggregator was last heard, by name
+        /// time of the last message from each aggregator, by name
         const std::map<std::string, instant>* m_last_seen = nullptr;
     };
 
-    /// @return the slot to take now, if any
+    /// @return the slot to claim now, if any
     std::optional<slot_claim> next_claim(const peer_activity& activity, const slot_table& table);
 
-    /// @brief the slot was tried for; it isn't due again for a while
+    /// @brief a claim was started; the slot is not claimed again within @ref slot_options::m_retry_interval
     void record_attempt(instant now, const slot_claim& claim);
 
-    /// @brief a slot was taken, or may have been: no other one is due until the slots show it, or a while
-    ///        has passed
+    /// @brief a claim succeeded or may have succeeded: no other slot is claimed until the slot table shows
+    ///        it or @ref slot_options::m_retry_interval has passed
     void record_claim(instant now);
 
-    /// @return the slot that this gateway holds, if any
+    /// @return the number of the slot that this gateway holds, if any
     std::optional<std::size_t> held_slot(const slot_table& table) const;
 
   private:
     struct tracked_slot
     {
-        /// its holder's name, empty while it is vacant
+        /// name of the holder; empty while the slot is vacant
         std::string m_holder;
-        /// since when that has been known here: before, the holder could not be heard
+        /// when this gateway first saw the holder in the slot table
         std::optional<instant> m_holder_since;
         std::optional<instant> m_last_attempt;
     };
 
-    /// @return how long this gateway waits before it takes the slot
+    /// @return the delay before this gateway claims the slot
     std::chrono::milliseconds claim_delay(std::size_t number) const;
     bool is_due(const peer_activity& activity, const slot& current, tracked_slot& tracked,
                 std::size_t number) const;
--- a/src/aggregation/watch_policy.cc
+++ b/src/aggregation/watch_policy.cc
@@ -7,7 +7,7 @@
 namespace
 {
 
-/// @return whether `holds` has been false for `patience`; `since` keeps since when
+/// @return whether `condition` has been false for `duration`; `false_since` holds the state between calls
 bool has_been_false_for(instant now, bool condition, std::chrono::milliseconds duration,
                         std::optional<instant>& false_since)
 {
--- a/src/aggregation/watch_policy.h
+++ b/src/aggregation/watch_policy.h
@@ -1,4 +1,4 @@
-// Whether a gateway watches the store itself. Decision code: no I/O, no clock.
+// Decides whether a gateway watches the store itself. Decision logic: no I/O, no clock.
 #pragma once
 
 #include <chrono>
@@ -10,40 +10,40 @@
 namespace martenyard::aggregation
 {
 
-/// @brief what a gateway sees
+/// @brief inputs of @ref watch_policy
 struct watch_state
 {
     instant m_now;
-    /// it holds a slot
+    /// this gateway holds a slot
     bool m_is_aggregator = false;
-    /// it is the aggregator that exchanges sums for its zone
+    /// this gateway represents its zone
     bool m_is_representative = false;
-    /// the one that does said lately that the store answers it
+    /// the representative of the zone recently reported that it reaches the store
     bool m_zone_reaches_store = false;
-    /// some aggregator said lately that the store answers it, or another zone's
+    /// any aggregator recently reported that it or another zone reaches the store
     bool m_any_reaches_store = false;
 };
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct watch_options
 {
-    /// an aggregator that doesn't speak for its zone begins when the one that does was out of contact with
-    /// the store for this long. That one asks again at once, and a change may be due everywhere within 2 s
+    /// other aggregators start to watch after the representative has not reached the store for this time;
+    /// must leave time for a change to be applied on all gateways within 2 s
     std::chrono::milliseconds m_standby_delay{400};
-    /// any gateway may begin when no aggregator was in contact with it for this long
+    /// any gateway may start to watch after no aggregator has reached the store for this time
     std::chrono::milliseconds m_fallback_delay{1600};
-    /// these begin one after the other over this time: the store may be down for all
+    /// start times of these gateways are distributed over this time, to limit the load on the store
     std::chrono::milliseconds m_fallback_jitter{30000};
 };
 
-/// @brief turns views, one after the other, into watching or not
+/// @brief decides from successive states whether to watch the store
 class watch_policy
 {
   public:
     explicit watch_policy(const std::string& name, const watch_options& options = {});
 
-    /// @brief takes what is seen now
-    /// @return whether to watch
+    /// @brief updates the decision from the current state
+    /// @return whether to watch the store
     bool should_watch(const watch_state& state);
 
   private:
