--- a/src/roles/exchange/change_sender.h
+++ b/src/roles/exchange/change_sender.h
@@ -1,4 +1,4 @@
-// Sends peers what the copies of the store's keys here have and theirs lack.
+// Sends peers the changes in this process's store mirrors that they lack.
 #pragma once
 
 #include <array>
@@ -16,24 +16,25 @@
 namespace martenyard::roles
 {
 
-/// the copies that processes tell each other of, in the order of aggregation::known_changes
+/// the mirrors whose changes are propagated, in the order of aggregation::mirror_revisions
 using mirror_list = std::array<store::PrefixMirror*, aggregation::mirror_count>;
 
-/// @return the revision of the last change known of each copy
+/// @return the revision of the last change of each mirror
 aggregation::mirror_revisions last_revisions(const mirror_list& mirrors);
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class change_sender
 {
   public:
-    /// @param[in] self  what peers are told the news come from
-    /// All references must outlive the sender.
+    /// All references must outlive the object.
+    /// @param[in] self  returns the machine that is named as the sender
     change_sender(wire::Transport& transport, const mirror_list& mirrors,
                   std::function<turn_ledger::Machine()> self);
 
-    /// @brief sends what changed after `since`; nothing while the peer has not taken what was sent before,
-    ///        since it asks again
-    /// @param[in] copy  a valid index
+    /// @brief sends the changes after `from_revision`, or nothing while earlier data to the peer is unsent:
+    /// it
+    ///        requests them again
+    /// @param[in] mirror  a valid index
     void send(const wire::Endpoint& to, std::size_t mirror, std::uint64_t from_revision);
 
   private:
@@ -41,7 +42,7 @@
     mirror_list m_mirrors;
     std::function<turn_ledger::Machine()> m_self;
 
-    /// the last changes sent, encoded: many peers lack the same
+    /// the last delta sent, encoded; many peers request the same one
     struct encoded_delta
     {
         std::size_t m_mirror = 0;
--- a/src/roles/exchange/lease_renewer.cc
+++ b/src/roles/exchange/lease_renewer.cc
@@ -15,9 +15,9 @@
 namespace
 {
 
-/// Aggregators of other zones that are asked at once: one of two is most likely not cut off as well.
+/// number of other zones' aggregators asked at a time, in case one of them is partitioned as well
 constexpr std::size_t foreign_peer_count = 2;
-/// Told where nothing was ever confirmed, in milliseconds: older than any lease.
+/// age in a reply, in milliseconds, if the configuration was never confirmed
 constexpr std::uint32_t never_confirmed = UINT32_MAX;
 
 std::uint64_t milliseconds_between(tenancy::instant from, tenancy::instant to)
@@ -95,8 +95,8 @@
 
 async_http::Task<void> lease_renewer::request_from_store(std::string key, store::Revision revision)
 {
-    // A transaction without effect, on the condition that the revision is still the newest. Unlike a
-    // watch's silence its answer is linearizable, and unlike a read it doesn't bring the whole text.
+    // An empty transaction on the condition that the revision is still the newest: it is linearizable, and
+    // does not transfer the configuration as a read would.
     store::Transaction transaction;
     transaction.conditions.push_back({std::move(key), revision});
     instant sent_at = SteadyInstant();
@@ -145,7 +145,7 @@
     reply.m_age_ms = never_confirmed;
     if (m_lease.confirmed())
     {
-        // Rounded up: an age must never be told too low.
+        // Rounded up: an age that is too low would extend the peer's lease beyond its bound.
         std::uint64_t age = milliseconds_between(*m_lease.confirmed(), SteadyInstant()) + 1;
         reply.m_age_ms = static_cast<std::uint32_t>(std::min<std::uint64_t>(age, never_confirmed));
     }
@@ -162,7 +162,7 @@
     std::uint64_t sent_at_ms = reply.m_timestamp - m_timestamp_base;
     if (sent_at_ms > milliseconds_between(m_started_at, now))
     {
-        return;  // An answer to a question of this address's earlier process.
+        return;  // A reply to a previous process at this address.
     }
     ++m_stats.m_peer_replies;
     m_plan->note_peer(now);
--- a/src/roles/exchange/lease_renewer.h
+++ b/src/roles/exchange/lease_renewer.h
@@ -1,5 +1,5 @@
-// Keeps a gateway's lease of its configuration: asks the store or the aggregators whether the
-// configuration in force is still the newest, and answers those who ask here. Wires the decisions of
+// Renews a gateway's lease of its configuration: asks the store or the aggregators whether the current
+// configuration is still the newest, and replies to such requests of peers. Connects the decision logic of
 // tenancy/ to the store, datagrams and the log.
 #pragma once
 
@@ -23,16 +23,16 @@
 namespace martenyard::roles
 {
 
-/// @brief whom a gateway may ask, and in which part it does
+/// @brief role of the gateway in its zone, and the peers that it may send confirmation requests to
 struct lease_peers
 {
     tenancy::zone_part m_role = tenancy::zone_part::member;
-    /// the own zone's aggregators but this gateway, the preferred one first
+    /// the other aggregators of the own zone, the primary first
     std::vector<wire::Endpoint> m_own_zone;
     std::vector<wire::Endpoint> m_other_zones;
 };
 
-/// @brief counters since the start, for the metrics address
+/// @brief counters since the process start, exported as metrics
 struct lease_stats
 {
     std::uint64_t m_store_requests = 0;
@@ -40,27 +40,27 @@
     std::uint64_t m_peer_replies = 0;
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class lease_renewer
 {
   public:
     using send_datagram = std::function<void(const wire::Endpoint&, const aggregation::datagram&)>;
 
-    /// All references must outlive the keeper.
-    /// @param[in] on_held  the lease holds again: requests may wait for it
+    /// All references must outlive the object.
+    /// @param[in] on_valid  called when the lease becomes valid; requests may be waiting for it
     lease_renewer(async_http::asio::io_context& context, store::MetadataStore& store,
                   store::PrefixMirror& configuration, tenancy::configuration_lease& lease,
                   event_log::EventLog& log, send_datagram send, std::function<void()> on_valid,
                   std::uint64_t seed);
 
-    /// @param[in] length  of the lease; nothing: there is no bound, and nothing is ever asked
-    /// @param[in] self    where answers go
+    /// @param[in] length  duration of the lease; if empty, the lease never expires and nothing is requested
+    /// @param[in] self    address for replies
     void start(std::optional<std::chrono::milliseconds> length, const wire::Endpoint& self);
 
-    /// @brief asks what is due; each tenth of a second
+    /// @brief sends the requests that are due; called every 100 ms
     void tick(const lease_peers& peers);
 
-    /// @brief the store answers again: it is asked at the next tick if that is due
+    /// @brief the store is reachable again: ends the backoff of store requests
     void on_store_recovered();
 
     void on_request(const aggregation::confirmation_question& request);
@@ -89,8 +89,8 @@
     Random m_random;
     std::optional<tenancy::confirmation_plan> m_plan;
     wire::Endpoint m_self;
-    /// Questions carry the time since `m_began` on top of a number of this process's own, so that an answer
-    /// to an earlier life is told apart.
+    /// Requests carry the time since `m_started_at` plus this random base, so that replies to a previous
+    /// process at the same address can be discarded.
     std::uint64_t m_timestamp_base = 0;
     instant m_started_at;
     bool m_store_request_pending = false;
--- a/src/roles/exchange/member_registry.cc
+++ b/src/roles/exchange/member_registry.cc
@@ -72,7 +72,7 @@
 
 async_http::Task<void> member_registry::write_records(std::vector<contact> gateways)
 {
-    // A gateway's record says what it reported itself: no condition is needed.
+    // All writers write what the gateway itself reported, so no condition is needed.
     store::Transaction transaction;
     for (const contact& gateway : gateways)
     {
--- a/src/roles/exchange/member_registry.h
+++ b/src/roles/exchange/member_registry.h
@@ -1,5 +1,5 @@
-// Where a zone's gateways are, as written down in the store: an aggregator introduces itself to those that
-// the store turns away when they restart.
+// Registry of a zone's gateways in the store. Aggregators use it to send digests to gateways that restart
+// without access to the store.
 #pragma once
 
 #include <chrono>
@@ -19,36 +19,36 @@
 namespace martenyard::roles
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct registry_options
 {
-    /// between two writes of registrations
+    /// minimum time between two writes
     std::chrono::milliseconds m_write_interval{1000};
-    /// registrations in one write: the store takes 32 entries
+    /// registrations per write; the store accepts 32 entries per transaction
     std::size_t m_max_batch_size = 32;
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class member_registry
 {
   public:
     using instant = aggregation::instant;
 
-    /// All references must outlive the registry.
+    /// All references must outlive the object.
     member_registry(async_http::asio::io_context& context, store::MetadataStore& store,
                     const RoleSettings& settings, event_log::EventLog& log,
                     const registry_options& options = {});
 
-    /// @brief begins to follow the records, as soon as it may ask
+    /// @brief starts to mirror the records; paused until @ref set_paused allows it
     void start();
 
-    /// @brief only aggregators need the records, and ask nothing while the store is away
+    /// @brief pauses the mirror on gateways that are no aggregators and while the store is unreachable
     void set_paused(bool paused);
 
-    /// @brief writes down the zone's gateways that report and have no record, or another one
+    /// @brief writes records of the zone's live gateways whose record is missing or outdated
     void register_missing(instant now, const aggregation::aggregator& own_aggregator);
 
-    /// @return the zone's other gateways on record that don't report
+    /// @return the other registered gateways of the zone that do not report
     std::vector<wire::Endpoint> unreporting(const aggregation::aggregator& own_aggregator) const;
 
   private:
--- a/src/roles/exchange/slot_records.h
+++ b/src/roles/exchange/slot_records.h
@@ -1,4 +1,4 @@
-// The aggregators' slots as they lie in the store.
+// Aggregator slots as recorded in the store.
 #pragma once
 
 #include <cstddef>
@@ -12,10 +12,11 @@
 namespace martenyard::roles
 {
 
-/// @return the key of a zone's slot
+/// @return the store key of a slot
 std::string slot_key(const std::string& zone, std::size_t number);
 
-/// @param[in] items  of the slots' prefix, by key; an unreadable one counts as vacant, and is logged
+/// @param[in] items  records under the prefix of the slots, by key; an invalid record is logged and its slot
+///                   is treated as vacant
 aggregation::slot_table read_slots(const std::map<std::string, store::StoreItem>& items,
                                    event_log::EventLog& log);
 
--- a/src/roles/exchange/storage_link.cc
+++ b/src/roles/exchange/storage_link.cc
@@ -58,7 +58,7 @@
     std::int64_t requested = 0;
     for (std::size_t index = 0; index < m_mirrors.size(); ++index)
     {
-        // Everything goes to few: the zone's aggregators tell the others.
+        // Only few gateways request all mirrors; the aggregators push them to the others.
         bool needed = all_mirrors || index + 1 == m_mirrors.size();
         if (needed && !m_mirrors[index]->complete())
         {
--- a/src/roles/exchange/storage_link.h
+++ b/src/roles/exchange/storage_link.h
@@ -1,5 +1,5 @@
-// A gateway's part in what storage machines keep for those that have just started: it tells them what
-// it knows of the store, and asks one of them for what it lacks. See roles/ledger/kept_copies.h.
+// A gateway's link to the mirrors that storage machines persist: announces the revisions of its mirrors to
+// them and, after a start, requests missing mirrors from one of them. See roles/ledger/kept_copies.h.
 #pragma once
 
 #include <chrono>
@@ -18,42 +18,42 @@
 namespace martenyard::roles
 {
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct storage_link_options
 {
-    /// a gateway that has just started asks a storage machine after this time for what nobody told it yet:
-    /// a store that answers does so sooner, in some tens of milliseconds
+    /// time after the start before missing mirrors are requested from a storage machine; must exceed the
+    /// usual reply time of the store
     std::chrono::milliseconds m_request_delay{150};
-    /// and another one each time this has passed
+    /// time between requests; each one goes to the next storage machine
     std::chrono::milliseconds m_request_interval{200};
-    /// storage machines are told which changes are known so often, and at each change
+    /// time between announcements of unchanged revisions; changes are announced at once
     std::chrono::milliseconds m_announce_interval{1000};
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class storage_link
 {
   public:
     using instant = aggregation::instant;
     using send_datagram = std::function<void(const wire::Endpoint&, const aggregation::datagram&)>;
 
-    /// All references must outlive the link.
+    /// All references must outlive the object.
     storage_link(const RoleSettings& settings, const mirror_list& mirrors, send_datagram send,
                  event_log::EventLog& log, const storage_link_options& options = {});
 
-    /// @brief the process began, and is reached at the contact
+    /// @param[in] self  the contact at which this process is reached
     void start(instant now, aggregation::contact self);
 
-    /// @brief the storage machines, as the ledger's directory names them
+    /// @brief sets the storage machines listed in the ledger directory
     void set_machines(std::vector<turn_ledger::Machine> machines);
 
-    /// @brief tells the storage machines that fall to this gateway's zone what is known, if that is due;
-    ///        for the gateway that speaks for its zone
+    /// @brief announces the revisions, if due, to the storage machines assigned to this zone; called by the
+    ///        representative of the zone
     void announce(instant now, const aggregation::slot_table& slots);
 
-    /// @brief asks a storage machine for the copies that this process lacks since its start, if that is due
-    /// @param[in] everything  not only for who sums up in the zone: one that is told the rest by them
-    ///                        asks for no more
+    /// @brief requests the mirrors that this process lacks from a storage machine, if due
+    /// @param[in] all_mirrors  request all mirrors instead of only the aggregator slots, through which an
+    ///                         ordinary gateway finds the aggregators that push the others
     void request_missing(instant now, bool all_mirrors);
 
   private:
--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -24,7 +24,7 @@
 namespace
 {
 
-/// bounds the memory of a gateway that nobody takes reports from
+/// bounds the memory of a gateway without a receiver of its reports
 constexpr std::size_t max_placements = 400;
 
 std::uint8_t saturate_to_byte(std::uint32_t count)
@@ -32,7 +32,7 @@
     return static_cast<std::uint8_t>(std::min<std::uint32_t>(count, UINT8_MAX));
 }
 
-/// @return this gateway's requests by runner, with what it has not told yet of their outcomes
+/// @return the requests of this gateway by runner, with the outcomes that it has not reported yet
 std::vector<runner_load> own_loads(discovery::RunnerTable& runners)
 {
     std::vector<runner_load> loads;
@@ -48,7 +48,7 @@
     return loads;
 }
 
-/// the outcomes were told
+/// subtracts reported outcomes from the unreported ones
 void clear_reported(const std::vector<runner_load>& loads, discovery::RunnerTable& runners)
 {
     for (const runner_load& load : loads)
@@ -144,7 +144,8 @@
 void zone_exchange::set_sender_state(instant now, digest& outgoing) const
 {
     outgoing.m_revisions = revisions();
-    // Another zone's word is as good; it is passed on in digests only, so that it goes round nowhere.
+    // A report from another zone is forwarded in digests only, not in summaries, so that it cannot circulate
+    // between zones.
     outgoing.m_store_reachable = reaches_store() || m_view->other_zone_reaches_store(now);
 }
 
@@ -162,7 +163,7 @@
     update_reading(SteadyInstant());
     if (!m_mirrors.front()->complete())
     {
-        report(SteadyInstant());  // What this gateway lacks is pushed at once.
+        report(SteadyInstant());  // Aggregators push the missing mirrors on receipt.
     }
 }
 
@@ -253,7 +254,7 @@
     return is_aggregator() && aggregation::zone_representative(m_slots, self(), is_alive_now) == self();
 }
 
-// ---- What peers tell ----
+// ---- Messages received ----
 
 void zone_exchange::on_datagram(const std::string& payload)
 {
@@ -283,7 +284,7 @@
     m_aggregator->handle(now, report);
     if (report.m_revisions.front() == 0)
     {
-        push_changes(now);  // It has just started, and clients may wait for it.
+        push_changes(now);  // The gateway has just started and is not ready yet.
     }
 }
 
@@ -334,7 +335,7 @@
     }
     for (const report_target& target : m_view->report_targets(now))
     {
-        // The one whose digests this gateway goes by is asked first.
+        // The primary comes first.
         auto place = target.m_primary ? peers.m_own_zone.begin() : peers.m_own_zone.end();
         peers.m_own_zone.insert(place, target.m_endpoint);
     }
@@ -377,7 +378,7 @@
     mirror.TakeDelta(reply.m_delta);
     if (m_aggregator)
     {
-        push_changes(SteadyInstant());  // Its gateways shouldn't wait for the next tick.
+        push_changes(SteadyInstant());  // Propagate without waiting for the next tick.
     }
 }
 
@@ -401,10 +402,10 @@
             runner->losses.note(now, {load.m_served, load.m_lost});
         }
     }
-    absl::Time now_time = SteadyNow();
+    absl::Time applied_at = SteadyNow();
     for (const placement& placed : placements)
     {
-        m_state.prefixes.Note(now_time, {placed.m_part, placed.m_tokens}, placed.m_runner);
+        m_state.prefixes.Note(applied_at, {placed.m_part, placed.m_tokens}, placed.m_runner);
     }
 }
 
@@ -435,12 +436,12 @@
     }
 }
 
-// ---- What is told ----
+// ---- Messages sent ----
 
-void zone_exchange::tick(bool ledger_silent)
+void zone_exchange::tick(bool ledger_unreachable)
 {
     instant now = SteadyInstant();
-    m_ledger_unreachable = ledger_silent;
+    m_ledger_unreachable = ledger_unreachable;
     update_watching(now);
     update_reading(now);
     claim_slot(now);
@@ -480,7 +481,7 @@
     if (watch != m_watching)
     {
         m_watching = watch;
-        m_store_answered.reset();  // An answer from before the watching proves nothing now.
+        m_store_answered.reset();  // Replies from before the watch prove nothing.
         m_log.Write(Line("store_watching").Flag("watching", watch));
     }
     for (std::size_t mirror = 0; mirror + 1 < m_mirrors.size(); ++mirror)
@@ -510,7 +511,7 @@
 void zone_exchange::update_reading(instant now)
 {
     bool reads = reads_all_mirrors(now);
-    // One question at a time while the store is away: the configuration's.
+    // While the store is unreachable, only the configuration mirror keeps trying.
     bool store_unreachable = !m_store_answered.value_or(true);
     for (std::size_t mirror = 0; mirror + 1 < m_mirrors.size(); ++mirror)
     {
@@ -534,7 +535,7 @@
 
 bool zone_exchange::store_reachable() const
 {
-    // One who doesn't watch has no proof of its own, whatever the store answered it once.
+    // Without a watch, earlier replies of the store do not prove that it is still reachable.
     return m_watching ? m_store_answered.value_or(false)
                       : m_view && m_view->any_reaches_store(SteadyInstant());
 }
@@ -547,7 +548,7 @@
 std::size_t zone_exchange::peers_without_ledger() const
 {
     std::size_t without = m_view ? m_view->gateways_without_ledger(SteadyInstant()) : 0;
-    // The sums may count this gateway too.
+    // The totals may include this gateway.
     return without - std::min<std::size_t>(without, m_last_report.m_ledger_unreachable ? 1 : 0);
 }
 
@@ -686,7 +687,7 @@
 {
     for (std::size_t mirror = 0; mirror < m_mirrors.size(); ++mirror)
     {
-        // A push or the own watch may still bring it, unless the store is lost to this gateway.
+        // A push or this gateway's own watch may still deliver the change, unless the watch has failed.
         bool may_wait = !m_watching || m_store_answered.value_or(false);
         auto query = m_propagation.next_query(now, mirror, m_mirrors[mirror]->last_change(), may_wait);
         if (query)
--- a/src/roles/exchange/zone_exchange.h
+++ b/src/roles/exchange/zone_exchange.h
@@ -1,9 +1,9 @@
-// A gateway's part in what gateways tell each other: loads, outcomes, the store's news. Wires the
-// decisions of aggregation/ to datagrams, frames, mirrors of the store and the runner table.
+// Exchange of loads, request outcomes and store changes between gateways. Connects the decision logic of
+// aggregation/ to datagrams, frames, store mirrors and the runner table.
 //
-// Every gateway reports to its zone's few aggregators and goes by the digests of one of them; a gateway
-// that holds a slot is an aggregator itself. What a gateway sends, receives and keeps doesn't grow with
-// the fleet. See docs/design/0007.
+// Every gateway reports to the aggregators of its zone and applies the digests of one of them; a gateway
+// that holds a slot is an aggregator itself. The traffic and memory of a gateway do not grow with the size
+// of the fleet. See docs/design/0007.
 #pragma once
 
 #include <array>
@@ -38,8 +38,8 @@
 namespace martenyard::roles
 {
 
-/// @brief the copies of the store's prefixes that gateways tell each other of, in the order of
-///        aggregation::known_changes
+/// @brief the store mirrors whose changes gateways propagate, in the order of
+///        aggregation::mirror_revisions
 struct mirror_references
 {
     store::PrefixMirror& m_configuration;
@@ -48,33 +48,33 @@
     store::PrefixMirror& m_aggregators;
 };
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct exchange_options
 {
-    /// an unchanged report is told again after this time
+    /// an unchanged report is sent again after this time
     std::chrono::milliseconds m_keepalive_interval{1000};
-    /// between a zone's sums to the other zones
+    /// time between summaries to other zones
     std::chrono::milliseconds m_summary_interval{100};
-    /// zones that sums are exchanged with
+    /// number of zones that summaries are exchanged with
     std::size_t m_max_zones = 8;
-    /// an aggregator that said nothing for this long doesn't speak for its zone; digests to other
-    /// aggregators and sums come each half a second at least
+    /// an aggregator without a message for this time does not represent its zone; aggregators send at least
+    /// one message each 500 ms
     std::chrono::milliseconds m_representative_timeout{900};
-    /// registered gateways that are silent get a short digest so often
+    /// time between short digests to registered gateways that do not report
     std::chrono::milliseconds m_introduction_interval{1000};
-    /// without a full digest for this long, other gateways' requests count as none
+    /// without a full digest for this time, the loads of other gateways are reset
     std::chrono::milliseconds m_digest_lifetime{1600};
-    /// who may take a slot looks at the slots' records for so long first: another may just have done so
+    /// a slot is claimed only after watching the slot records for this time, to see concurrent claims
     std::chrono::milliseconds m_pre_claim_watch{300};
-    /// and goes on looking for so long, whatever comes of it
+    /// total time for which the slot records are watched, from the start of that watch
     std::chrono::milliseconds m_claim_watch_period{3000};
-    /// a gateway that has just started waits so long for an aggregator to tell it everything before it
-    /// reads the store by itself. When the whole system starts, the slots must be taken first
+    /// time after the start in which a gateway waits for an aggregator to push all mirrors, before it reads
+    /// them from the store; longer at the first start of the system, when the slots are still vacant
     std::chrono::milliseconds m_read_delay{400};
     std::chrono::milliseconds m_first_start_read_delay{2500};
 };
 
-/// @brief counters since the start, for the metrics address
+/// @brief counters since the process start, exported as metrics
 struct exchange_stats
 {
     std::uint64_t m_reports_sent = 0;
@@ -87,59 +87,58 @@
     std::uint64_t m_datagrams_unreadable = 0;
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class zone_exchange
 {
   public:
-    /// All references must outlive the exchange.
+    /// All references must outlive the object.
     zone_exchange(async_http::asio::io_context& context, const RoleSettings& settings,
                   store::MetadataStore& store, wire::Transport& transport, const mirror_references& mirrors,
                   forwarding::GatewayState& state, event_log::EventLog& log,
                   const exchange_options& options = {});
 
-    /// @brief begins; the internal port is known by now
+    /// @brief starts the exchange, once the internal port is bound
     void start(std::uint16_t internal_port);
 
-    /// @brief the slots' records changed
+    /// @brief handles a change of the slot records
     void on_slots_change();
 
-    /// @brief the storage machines, as the ledger's directory names them
+    /// @brief sets the storage machines listed in the ledger directory
     void set_storage_machines(std::vector<turn_ledger::Machine> machines);
 
-    /// @brief a datagram came
     void on_datagram(const std::string& payload);
 
-    /// @brief a peer told changes of the store
+    /// @brief applies store changes sent by a peer
     void on_changes(const store::news_reply& reply);
 
-    /// @brief a runner is about to read a part of a prompt
+    /// @brief records that a runner is about to process a part of a prompt
     void record_placement(const forwarding::PromptPart& part, std::uint32_t runner);
 
-    /// @brief a mirror had lost the store, and it answers again
+    /// @brief the store is reachable again after an outage
     void on_store_recovered()
     {
         m_lease_renewer.on_store_recovered();
     }
 
-    /// @brief the store answered the configuration's mirror, or did not
+    /// @param[in] reachable  whether the last call of the configuration mirror got a reply
     void on_store_reachability(bool reachable);
 
-    /// @brief a configuration is in force: asks whether it is the newest, if that is due
+    /// @brief renews the lease of the current configuration if that is due
     void confirm_configuration();
 
-    /// @brief does what is due; each tenth of a second
-    /// @param[in] ledger_silent  most groups of the ledger don't answer
-    void tick(bool ledger_silent);
+    /// @brief runs all periodic work; called every 100 ms
+    /// @param[in] ledger_unreachable  whether most ledger groups do not reply
+    void tick(bool ledger_unreachable);
 
-    /// @return whether the configuration is known to be the newest: the store answers, or an aggregator
-    ///         says that it does
+    /// @return whether the configuration is known to be current: the store is reachable, or an aggregator
+    ///         reports that it is
     bool store_reachable() const;
 
-    /// @return other gateways that are known of, and those among them without the ledger
+    /// @return the number of other known gateways, and of those that do not reach the ledger
     std::size_t peer_count() const;
     std::size_t peers_without_ledger() const;
 
-    /// @return up to `most` gateways that reach the ledger
+    /// @return up to `max_count` gateways that reach the ledger
     std::vector<wire::Endpoint> peers_with_ledger(std::size_t max_count) const;
 
     bool is_aggregator() const
@@ -154,7 +153,7 @@
     {
         return m_stats;
     }
-    /// @return gateways that report to this one, if it is an aggregator
+    /// @return the number of gateways that report to this one, if it is an aggregator
     std::size_t member_count() const
     {
         return m_aggregator ? m_aggregator->members().size() : 0;
@@ -172,21 +171,21 @@
     lease_peers lease_renewal_peers(instant now) const;
 
     aggregation::mirror_revisions revisions() const;
-    /// @return whether the store answers this gateway itself
+    /// @return whether this gateway watches the store and the last call succeeded
     bool reaches_store() const;
     void set_sender_state(instant now, aggregation::digest& outgoing) const;
     aggregation::contact self() const;
     turn_ledger::Machine machine() const;
     void update_watching(instant now);
-    /// which mirrors may ask the store
+    /// sets which mirrors may read from the store
     void update_reading(instant now);
-    /// writes a line when it changed which mirrors may ask
+    /// logs a change of the mirrors that may read from the store
     void log_reading_change(bool reads, bool store_unreachable);
     bool waits_for_push(instant now) const;
     void claim_slot(instant now);
     async_http::Task<void> write_claim(aggregation::slot_claim claim);
     bool is_alive(instant now, const aggregation::contact& aggregator) const;
-    /// @return whether this aggregator watches the store and exchanges sums for its zone
+    /// @return whether this gateway is the representative of its zone
     bool represents_zone(instant now) const;
     void set_slot(std::optional<std::size_t> slot);
 
@@ -204,7 +203,7 @@
     void apply(instant now, const std::vector<aggregation::runner_load>& others,
                const std::vector<aggregation::placement>& placements);
     void expire_peer_loads(instant now);
-    /// takes all other gateways' requests off the runner table
+    /// resets the loads of other gateways in the runner table
     void clear_peer_loads();
     void send(const wire::Endpoint& to, const std::string& payload);
     void send_all(const std::vector<wire::Endpoint>& receivers, const std::string& payload,
@@ -236,7 +235,7 @@
     bool m_ledger_unreachable = false;
     bool m_reading = true;
     bool m_store_unreachable = false;
-    /// whether the store answered the last question for the configuration; nothing before the first
+    /// whether the last call of the configuration mirror got a reply; empty before the first call
     std::optional<bool> m_store_answered;
 
     aggregation::member_report m_last_report;
