--- a/tests/aggregation/change_propagation_test.cc
+++ b/tests/aggregation/change_propagation_test.cc
@@ -1,4 +1,4 @@
-// Which changes of the store are pushed to whom, and asked from whom.
+// Tests of which store changes are pushed to gateways and queried from peers.
 #include "aggregation/change_propagation.h"
 
 #include <gtest/gtest.h>
@@ -23,84 +23,84 @@
   return report;
 }
 
-class NewsTest : public ::testing::Test {
+class ChangePropagationTest : public ::testing::Test {
  protected:
-  void Hear(const member_report& report, milliseconds at) {
-    sums_.handle(instant() + at, report);
-    news_.record_revisions(instant() + at, report.m_from, report.m_revisions);
+  void HandleReport(const member_report& report, milliseconds at) {
+    aggregator_.handle(instant() + at, report);
+    propagation_.record_revisions(instant() + at, report.m_from, report.m_revisions);
   }
   std::vector<change_push> Pushes(std::uint64_t own, milliseconds at) {
-    mirror_revisions changes{};
-    changes[kConfiguration] = own;
-    return news_.take_due_pushes(instant() + at, changes, sums_);
+    mirror_revisions revisions{};
+    revisions[kConfiguration] = own;
+    return propagation_.take_due_pushes(instant() + at, revisions, aggregator_);
   }
-  std::optional<change_query> Question(std::uint64_t own, milliseconds at, bool patient) {
-    return news_.next_query(instant() + at, kConfiguration, own, patient);
+  std::optional<change_query> NextQuery(std::uint64_t own, milliseconds at, bool may_wait) {
+    return propagation_.next_query(instant() + at, kConfiguration, own, may_wait);
   }
 
-  aggregator sums_{Gateway("self", 1), 7};
-  change_propagation news_{7};
+  aggregator aggregator_{Gateway("self", 1), 7};
+  change_propagation propagation_{7};
 };
 
-TEST_F(NewsTest, GatewayThatIsBehindIsToldOnceUntilItsNextReportsAreDue) {
-  Hear(Report("g", 2, 8), milliseconds(0));
+TEST_F(ChangePropagationTest, LaggingGatewayIsSentChangesOnceUntilTheRetryInterval) {
+  HandleReport(Report("g", 2, 8), milliseconds(0));
   std::vector<change_push> pushes = Pushes(9, milliseconds(0));
   ASSERT_EQ(pushes.size(), 1U);
   EXPECT_EQ(pushes[0].m_to.port, 2);
   EXPECT_EQ(pushes[0].m_since, 8U);
-  EXPECT_TRUE(Pushes(9, milliseconds(100)).empty()) << "it is on its way";
-  EXPECT_EQ(Pushes(9, milliseconds(500)).size(), 1U) << "it was lost";
-  Hear(Report("g", 2, 9), milliseconds(600));
+  EXPECT_TRUE(Pushes(9, milliseconds(100)).empty()) << "the push is in transit";
+  EXPECT_EQ(Pushes(9, milliseconds(500)).size(), 1U) << "the push was lost";
+  HandleReport(Report("g", 2, 9), milliseconds(600));
   EXPECT_TRUE(Pushes(9, milliseconds(1000)).empty());
 }
 
-TEST_F(NewsTest, GatewayThatGoesByAnotherIsHelpedOnlyAfterAWhile) {
-  Hear(Report("g", 2, 8, /*primary=*/false), milliseconds(0));
+TEST_F(ChangePropagationTest, GatewayWithAnotherPrimaryIsSentChangesAfterADelay) {
+  HandleReport(Report("g", 2, 8, /*primary=*/false), milliseconds(0));
   EXPECT_TRUE(Pushes(9, milliseconds(0)).empty());
   EXPECT_TRUE(Pushes(9, milliseconds(700)).empty());
   EXPECT_EQ(Pushes(9, milliseconds(900)).size(), 1U);
 }
 
-TEST_F(NewsTest, SilentGatewayGetsNothing) {
-  Hear(Report("g", 2, 8), milliseconds(0));
+TEST_F(ChangePropagationTest, GatewayWithoutRecentReportGetsNoPush) {
+  HandleReport(Report("g", 2, 8), milliseconds(0));
   EXPECT_TRUE(Pushes(9, milliseconds(1700)).empty());
 }
 
-TEST_F(NewsTest, FewPushesAtATimeAndTheOthersFollow) {
+TEST_F(ChangePropagationTest, PushesPerCallAreLimitedAndTheRestFollows) {
   for (int number = 0; number < 20; ++number) {
-    Hear(Report("g" + std::to_string(number), static_cast<std::uint16_t>(10 + number), 8),
-         milliseconds(0));
+    HandleReport(Report("g" + std::to_string(number), static_cast<std::uint16_t>(10 + number), 8),
+                 milliseconds(0));
   }
-  std::size_t told = 0;
+  std::size_t pushed_total = 0;
   for (milliseconds at(0); at < milliseconds(300); at += milliseconds(100)) {
     std::size_t pushed = Pushes(9, at).size();
     EXPECT_LE(pushed, 8U);
-    told += pushed;
+    pushed_total += pushed;
   }
-  EXPECT_EQ(told, 20U);
+  EXPECT_EQ(pushed_total, 20U);
 }
 
-TEST_F(NewsTest, QuestionsGoToThoseWhoKnowMoreOneAtATime) {
-  news_.record_revisions(instant(), Gateway("ahead", 3), {9});
-  news_.record_revisions(instant(), Gateway("behind", 4), {7});
-  EXPECT_FALSE(Question(9, milliseconds(0), false)) << "as new as all of them";
-  auto question = Question(8, milliseconds(0), false);
-  ASSERT_TRUE(question);
-  EXPECT_EQ(question->m_peer.port, 3);
-  EXPECT_FALSE(Question(8, milliseconds(300), false)) << "its answer is on the way";
-  EXPECT_TRUE(Question(8, milliseconds(500), false));
+TEST_F(ChangePropagationTest, QueriesPeersWithNewerRevisionsOneAtATime) {
+  propagation_.record_revisions(instant(), Gateway("ahead", 3), {9});
+  propagation_.record_revisions(instant(), Gateway("behind", 4), {7});
+  EXPECT_FALSE(NextQuery(9, milliseconds(0), false)) << "no peer is newer";
+  auto query = NextQuery(8, milliseconds(0), false);
+  ASSERT_TRUE(query);
+  EXPECT_EQ(query->m_peer.port, 3);
+  EXPECT_FALSE(NextQuery(8, milliseconds(300), false)) << "the reply is in transit";
+  EXPECT_TRUE(NextQuery(8, milliseconds(500), false));
 }
 
-TEST_F(NewsTest, WatchingOrServedGatewayWaitsBeforeItAsks) {
-  news_.record_revisions(instant(), Gateway("ahead", 3), {9});
-  EXPECT_FALSE(Question(8, milliseconds(0), true));
-  EXPECT_FALSE(Question(8, milliseconds(300), true));
-  EXPECT_TRUE(Question(8, milliseconds(450), true)) << "neither a watch nor a push brought it";
+TEST_F(ChangePropagationTest, WaitsForAWatchOrAPushBeforeItQueries) {
+  propagation_.record_revisions(instant(), Gateway("ahead", 3), {9});
+  EXPECT_FALSE(NextQuery(8, milliseconds(0), true));
+  EXPECT_FALSE(NextQuery(8, milliseconds(300), true));
+  EXPECT_TRUE(NextQuery(8, milliseconds(450), true)) << "neither a watch nor a push delivered it";
 }
 
-TEST_F(NewsTest, SilentPeersAreNotAsked) {
-  news_.record_revisions(instant(), Gateway("ahead", 3), {9});
-  EXPECT_FALSE(Question(8, milliseconds(1700), false));
+TEST_F(ChangePropagationTest, PeersWithoutRecentMessageAreNotQueried) {
+  propagation_.record_revisions(instant(), Gateway("ahead", 3), {9});
+  EXPECT_FALSE(NextQuery(8, milliseconds(1700), false));
 }
 
 }  // namespace
--- a/tests/aggregation/fleet_test.cc
+++ b/tests/aggregation/fleet_test.cc
@@ -1,5 +1,5 @@
-// Whole fleets of gateways in virtual time, with loss: everybody learns a change and the loads, and
-// what a gateway sends, receives and keeps doesn't grow with the fleet.
+// Simulates fleets of gateways in virtual time with packet loss: all gateways receive changes and
+// loads, and the traffic of a gateway does not grow with the fleet.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -19,9 +19,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::size_t kSlots = 3;  // The mirror of the slots' records.
+constexpr std::size_t kSlots = 3;  // Mirror index of the slot records.
 constexpr std::size_t kRunners = 0;
-constexpr std::size_t kZoneSize = 47;  // 1,400 daemons in 30 zones.
+constexpr std::size_t kZoneSize = 47;  // 1,400 gateways in 30 zones.
 constexpr double kLoss = 0.02;
 constexpr milliseconds kTick{100};
 
@@ -30,25 +30,31 @@
   std::uint64_t bytes = 0;
 };
 
-/// One gateway's decisions, wired as roles/exchange wires them.
+/// The decision logic of one gateway, connected as in roles/exchange.
 struct SimulatedGateway {
   SimulatedGateway(const contact& own, std::uint64_t seed)
-      : self(own), claims(own, 0.5), view(own), news(seed), watch(own.m_name), seed(seed) {}
+      : self(own),
+        claim_policy(own, 0.5),
+        view(own),
+        propagation(seed),
+        store_watch(own.m_name),
+        seed(seed) {}
 
   contact self;
-  slot_claim_policy claims;
+  slot_claim_policy claim_policy;
   member_view view;
-  change_propagation news;
-  watch_policy watch;
+  change_propagation propagation;
+  watch_policy store_watch;
   std::uint64_t seed;
-  std::unique_ptr<aggregator> sums;
-  mirror_revisions changes{};
+  std::unique_ptr<aggregator> own_aggregator;
+  mirror_revisions revisions{};
   slot_table slots;
   std::vector<runner_load> loads;
-  std::map<std::uint32_t, std::uint32_t> others;  // Other gateways' requests, as last told.
+  std::map<std::uint32_t, std::uint32_t>
+      other_loads;  // Requests of other gateways by runner, as of the last digest.
   bool alive = true;
   bool reaches_store = true;
-  bool in_contact = false;
+  bool store_reachable = false;
   Traffic sent;
   Traffic received;
 };
@@ -77,29 +83,29 @@
     now_ = end;
   }
 
-  /// The store takes a change of a prefix.
+  /// Changes a key of a mirrored prefix in the store.
   void Change(std::size_t mirror) { store_[mirror] = ++revision_; }
 
   bool All(const std::function<bool(const SimulatedGateway&)>& holds) {
     return std::all_of(gateways_.begin(), gateways_.end(),
                        [&](const auto& gateway) { return !gateway->alive || holds(*gateway); });
   }
-  /// @return how long it took until all know the latest change of the mirror.
-  milliseconds UntilAllKnow(std::size_t mirror) {
-    instant began = now_;
+  /// @return the time until all gateways have the latest change of the mirror.
+  milliseconds TimeUntilAllHave(std::size_t mirror) {
+    instant started = now_;
     while (!All([&](const SimulatedGateway& gateway) {
-      return gateway.changes[mirror] == store_[mirror];
+      return gateway.revisions[mirror] == store_[mirror];
     })) {
       Run(milliseconds(50));
-      if (now_ - began > milliseconds(30000)) {
+      if (now_ - started > milliseconds(30000)) {
         break;
       }
     }
-    return std::chrono::duration_cast<milliseconds>(now_ - began);
+    return std::chrono::duration_cast<milliseconds>(now_ - started);
   }
   std::vector<std::unique_ptr<SimulatedGateway>>& gateways() { return gateways_; }
   std::uint64_t slot_writes() const { return slot_writes_; }
-  void ForgetTraffic() {
+  void ResetTraffic() {
     for (auto& gateway : gateways_) {
       gateway->sent = gateway->received = {};
     }
@@ -132,7 +138,7 @@
       if (gateway.alive) {
         ++gateway.received.messages;
         gateway.received.bytes += bytes;
-        std::visit([&](const auto& told) { Take(gateway, told); }, message);
+        std::visit([&](const auto& content) { Handle(gateway, content); }, message);
       }
     });
   }
@@ -146,64 +152,65 @@
     }
   }
 
-  void Take(SimulatedGateway& gateway, const member_report& report) {
-    gateway.news.record_revisions(now_, report.m_from, report.m_revisions);
-    if (gateway.sums) {
-      gateway.sums->handle(now_, report);
+  void Handle(SimulatedGateway& gateway, const member_report& report) {
+    gateway.propagation.record_revisions(now_, report.m_from, report.m_revisions);
+    if (gateway.own_aggregator) {
+      gateway.own_aggregator->handle(now_, report);
     }
   }
-  void Take(SimulatedGateway& gateway, const zone_summary& summary) {
-    gateway.news.record_revisions(now_, summary.m_from, summary.m_revisions);
+  void Handle(SimulatedGateway& gateway, const zone_summary& summary) {
+    gateway.propagation.record_revisions(now_, summary.m_from, summary.m_revisions);
     gateway.view.handle(now_, summary);
-    if (gateway.sums) {
-      gateway.sums->handle(now_, summary);
+    if (gateway.own_aggregator) {
+      gateway.own_aggregator->handle(now_, summary);
     }
   }
-  void Take(SimulatedGateway& gateway, const digest& told) {
-    gateway.news.record_revisions(now_, told.m_from, told.m_revisions);
-    if (gateway.view.handle(now_, told)) {
-      Apply(gateway, told);
+  void Handle(SimulatedGateway& gateway, const digest& message) {
+    gateway.propagation.record_revisions(now_, message.m_from, message.m_revisions);
+    if (gateway.view.handle(now_, message)) {
+      Apply(gateway, message);
     }
   }
-  void Take(SimulatedGateway& gateway, const store::news_request& request) {
+  void Handle(SimulatedGateway& gateway, const store::news_request& request) {
     Deliver(gateway, request.m_port, request.m_mirror);
   }
-  // Leases have a simulation of their own (tests/tenancy).
-  void Take(SimulatedGateway& /*gateway*/, const confirmation_question& /*question*/) {}
-  void Take(SimulatedGateway& /*gateway*/, const confirmation_answer& /*answer*/) {}
+  // Leases are simulated in tests/tenancy.
+  void Handle(SimulatedGateway& /*gateway*/, const confirmation_question& /*question*/) {}
+  void Handle(SimulatedGateway& /*gateway*/, const confirmation_answer& /*answer*/) {}
 
-  /// A whole answer over a connection; it isn't lost.
+  /// Sends a complete reply over a connection, without loss.
   void Deliver(SimulatedGateway& from, std::uint16_t to, std::size_t mirror) {
-    std::uint64_t revision = from.changes[mirror];
+    std::uint64_t revision = from.revisions[mirror];
     slot_table slots = from.slots;
-    At(milliseconds(5),
-       [this, to, mirror, revision, slots] { Learn(*gateways_[to - 1], mirror, revision, slots); });
+    At(milliseconds(5), [this, to, mirror, revision, slots] {
+      ApplyChange(*gateways_[to - 1], mirror, revision, slots);
+    });
   }
 
-  void Learn(SimulatedGateway& gateway, std::size_t mirror, std::uint64_t revision,
-             const slot_table& slots) {
-    if (revision <= gateway.changes[mirror]) {
+  void ApplyChange(SimulatedGateway& gateway, std::size_t mirror, std::uint64_t revision,
+                   const slot_table& slots) {
+    if (revision <= gateway.revisions[mirror]) {
       return;
     }
-    gateway.changes[mirror] = revision;
+    gateway.revisions[mirror] = revision;
     if (mirror != kSlots) {
       return;
     }
     gateway.slots = slots;
     gateway.view.set_slots(slots);
-    bool aggregates = gateway.claims.held_slot(slots).has_value();
+    bool aggregates = gateway.claim_policy.held_slot(slots).has_value();
     gateway.view.set_is_aggregator(aggregates);
-    if (aggregates && !gateway.sums) {
-      gateway.sums = std::make_unique<aggregator>(gateway.self, gateway.seed);
+    if (aggregates && !gateway.own_aggregator) {
+      gateway.own_aggregator = std::make_unique<aggregator>(gateway.self, gateway.seed);
     } else if (!aggregates) {
-      gateway.sums.reset();
+      gateway.own_aggregator.reset();
     }
   }
 
-  void Apply(SimulatedGateway& gateway, const digest& told) {
-    gateway.others.clear();
-    for (const runner_load& load : gateway.view.subtract_own(told.m_loads)) {
-      gateway.others[load.m_runner] = load.m_active;
+  void Apply(SimulatedGateway& gateway, const digest& message) {
+    gateway.other_loads.clear();
+    for (const runner_load& load : gateway.view.subtract_own(message.m_loads)) {
+      gateway.other_loads[load.m_runner] = load.m_active;
     }
   }
 
@@ -213,57 +220,58 @@
     if (!gateway.alive) {
       return;
     }
-    // While the zone has vacant slots all watch their records.
+    // All gateways watch the slot records while their zone has vacant slots.
     bool vacant = gateway.slots[gateway.self.m_zone].size() < slots_per_zone;
-    bool watches = gateway.watch.should_watch({now_, gateway.sums != nullptr, Speaks(gateway),
-                                               gateway.view.own_zone_reaches_store(now_),
-                                               gateway.view.any_reaches_store(now_)});
+    bool watching = gateway.store_watch.should_watch(
+        {now_, gateway.own_aggregator != nullptr, IsRepresentative(gateway),
+         gateway.view.own_zone_reaches_store(now_), gateway.view.any_reaches_store(now_)});
     for (std::size_t mirror = 0; mirror < mirror_count; ++mirror) {
-      if (gateway.reaches_store && (watches || (vacant && mirror == kSlots))) {
-        Learn(gateway, mirror, store_[mirror], slots_);
+      if (gateway.reaches_store && (watching || (vacant && mirror == kSlots))) {
+        ApplyChange(gateway, mirror, store_[mirror], slots_);
       }
     }
-    gateway.in_contact = gateway.reaches_store && watches;
-    if (auto claim = gateway.claims.next_claim({now_, &gateway.view.last_seen()}, gateway.slots)) {
-      gateway.claims.record_attempt(now_, *claim);
+    gateway.store_reachable = gateway.reaches_store && watching;
+    if (auto claim =
+            gateway.claim_policy.next_claim({now_, &gateway.view.last_seen()}, gateway.slots)) {
+      gateway.claim_policy.record_attempt(now_, *claim);
       Claim(gateway, *claim);
     }
-    gateway.news.expire(now_);
+    gateway.propagation.expire(now_);
     Report(gateway);
-    if (gateway.sums) {
+    if (gateway.own_aggregator) {
       Aggregate(gateway);
     }
     for (std::size_t mirror = 0; mirror < mirror_count; ++mirror) {
-      auto question =
-          gateway.news.next_query(now_, mirror, gateway.changes[mirror], gateway.reaches_store);
-      if (question) {
-        store::news_request request{static_cast<std::uint8_t>(mirror), gateway.changes[mirror],
+      auto query = gateway.propagation.next_query(now_, mirror, gateway.revisions[mirror],
+                                                  gateway.reaches_store);
+      if (query) {
+        store::news_request request{static_cast<std::uint8_t>(mirror), gateway.revisions[mirror],
                                     gateway.self.m_endpoint.address, gateway.self.m_endpoint.port};
-        SendAll(gateway, {question->m_peer}, request);
+        SendAll(gateway, {query->m_peer}, request);
       }
     }
   }
 
   void Claim(SimulatedGateway& gateway, const slot_claim& claim) {
-    slot& taken = slots_[gateway.self.m_zone][claim.m_slot];
-    if (gateway.reaches_store && taken.m_revision == claim.m_revision) {
+    slot& current = slots_[gateway.self.m_zone][claim.m_slot];
+    if (gateway.reaches_store && current.m_revision == claim.m_revision) {
       Change(kSlots);
-      taken = {gateway.self, revision_};
+      current = {gateway.self, revision_};
       ++slot_writes_;
     }
     if (gateway.reaches_store) {
-      Learn(gateway, kSlots, store_[kSlots], slots_);  // Who tried watches the records.
+      ApplyChange(gateway, kSlots, store_[kSlots], slots_);  // A claimant watches the slot records.
     }
   }
 
   void Report(SimulatedGateway& gateway) {
     member_report report;
     report.m_from = gateway.self;
-    report.m_revisions = gateway.changes;
+    report.m_revisions = gateway.revisions;
     report.m_loads = gateway.loads;
     gateway.view.record_reported(now_, report.m_loads);
-    if (gateway.sums) {
-      gateway.sums->handle(now_, report);
+    if (gateway.own_aggregator) {
+      gateway.own_aggregator->handle(now_, report);
     }
     for (const report_target& target : gateway.view.report_targets(now_)) {
       report.m_primary = target.m_primary;
@@ -272,46 +280,49 @@
   }
 
   void Aggregate(SimulatedGateway& gateway) {
-    aggregator& sums = *gateway.sums;
-    sums.expire(now_);
-    if (sums.digest_is_due(now_)) {
-      digest full = sums.make_digest(now_);
-      full.m_revisions = gateway.changes;
-      full.m_store_reachable = gateway.in_contact || gateway.view.other_zone_reaches_store(now_);
-      sums.record_digest_sent(now_, wire::Encode(datagram(full)).size());
-      SendAll(gateway, sums.primary_members(now_), full);
-      gateway.view.set_counts(now_, full.m_gateways, full.m_without_ledger);
-      Apply(gateway, full);
+    aggregator& own_aggregator = *gateway.own_aggregator;
+    own_aggregator.expire(now_);
+    if (own_aggregator.digest_is_due(now_)) {
+      digest full_digest = own_aggregator.make_digest(now_);
+      full_digest.m_revisions = gateway.revisions;
+      full_digest.m_store_reachable =
+          gateway.store_reachable || gateway.view.other_zone_reaches_store(now_);
+      own_aggregator.record_digest_sent(now_, wire::Encode(datagram(full_digest)).size());
+      SendAll(gateway, own_aggregator.primary_members(now_), full_digest);
+      gateway.view.set_counts(now_, full_digest.m_gateways, full_digest.m_without_ledger);
+      Apply(gateway, full_digest);
     }
-    digest brief = sums.make_short_digest(now_);
-    brief.m_revisions = gateway.changes;
-    brief.m_store_reachable = gateway.in_contact || gateway.view.other_zone_reaches_store(now_);
-    SendAll(gateway, sums.take_short_digest_due(now_), brief);
-    sums.set_representative(now_, Speaks(gateway));
-    if (Speaks(gateway)) {
-      zone_summary summary = sums.make_summary(now_);
-      summary.m_revisions = gateway.changes;
-      summary.m_store_reachable = gateway.in_contact;
-      auto has_live_member = [&](const contact& other) { return Hears(gateway, other); };
+    digest short_digest = own_aggregator.make_short_digest(now_);
+    short_digest.m_revisions = gateway.revisions;
+    short_digest.m_store_reachable =
+        gateway.store_reachable || gateway.view.other_zone_reaches_store(now_);
+    SendAll(gateway, own_aggregator.take_short_digest_due(now_), short_digest);
+    own_aggregator.set_representative(now_, IsRepresentative(gateway));
+    if (IsRepresentative(gateway)) {
+      zone_summary summary = own_aggregator.make_summary(now_);
+      summary.m_revisions = gateway.revisions;
+      summary.m_store_reachable = gateway.store_reachable;
+      auto has_live_member = [&](const contact& other) { return IsAlive(gateway, other); };
       SendAll(gateway, summary_targets(gateway.slots, gateway.self, has_live_member, 8), summary);
-      zone_summary others = sums.make_relayed_summary(now_);
-      others.m_revisions = gateway.changes;
-      others.m_store_reachable = gateway.in_contact;
-      SendAll(gateway, CoAggregators(gateway), others);
+      zone_summary relayed = own_aggregator.make_relayed_summary(now_);
+      relayed.m_revisions = gateway.revisions;
+      relayed.m_store_reachable = gateway.store_reachable;
+      SendAll(gateway, CoAggregators(gateway), relayed);
     }
-    for (const change_push& push : gateway.news.take_due_pushes(
-             now_, gateway.changes, sums, slot_holders(gateway.slots, gateway.self.m_zone))) {
+    for (const change_push& push :
+         gateway.propagation.take_due_pushes(now_, gateway.revisions, own_aggregator,
+                                             slot_holders(gateway.slots, gateway.self.m_zone))) {
       Deliver(gateway, push.m_to.port, push.m_mirror);
     }
   }
 
-  bool Hears(const SimulatedGateway& gateway, const contact& other) {
-    auto heard = gateway.view.last_seen().find(other.m_name);
-    return heard != gateway.view.last_seen().end() && now_ - heard->second <= milliseconds(900);
+  bool IsAlive(const SimulatedGateway& gateway, const contact& other) {
+    auto seen = gateway.view.last_seen().find(other.m_name);
+    return seen != gateway.view.last_seen().end() && now_ - seen->second <= milliseconds(900);
   }
-  bool Speaks(const SimulatedGateway& gateway) {
-    auto has_live_member = [&](const contact& other) { return Hears(gateway, other); };
-    return gateway.sums &&
+  bool IsRepresentative(const SimulatedGateway& gateway) {
+    auto has_live_member = [&](const contact& other) { return IsAlive(gateway, other); };
+    return gateway.own_aggregator &&
            zone_representative(gateway.slots, gateway.self, has_live_member) == gateway.self;
   }
   std::vector<wire::Endpoint> CoAggregators(const SimulatedGateway& gateway) {
@@ -338,7 +349,7 @@
 class FleetTest : public ::testing::TestWithParam<std::size_t> {};
 
 /// Each gateway runs one request at one of 140 runners.
-void GiveLoads(Fleet& fleet) {
+void SetLoads(Fleet& fleet) {
   constexpr std::uint32_t kRunnerCount = 140;
   std::uint32_t number = 0;
   for (auto& gateway : fleet.gateways()) {
@@ -346,18 +357,18 @@
   }
 }
 
-TEST_P(FleetTest, EverybodyLearnsAChangeSoonAfterAllStartedTogether) {
+TEST_P(FleetTest, AllGatewaysReceiveAChangeSoonAfterACommonStart) {
   Fleet fleet(GetParam(), 11);
   fleet.Run(milliseconds(4000));
   fleet.Change(kRunners);
-  EXPECT_LT(fleet.UntilAllKnow(kRunners), milliseconds(2500));
+  EXPECT_LT(fleet.TimeUntilAllHave(kRunners), milliseconds(2500));
 }
 
-TEST_P(FleetTest, TrafficOfAGatewayAndOfAnAggregatorIsBoundedWhateverTheFleet) {
+TEST_P(FleetTest, TrafficIsIndependentOfTheFleetSize) {
   Fleet fleet(GetParam(), 12);
-  GiveLoads(fleet);
+  SetLoads(fleet);
   fleet.Run(milliseconds(5000));
-  fleet.ForgetTraffic();
+  fleet.ResetTraffic();
   constexpr double kSeconds = 3;
   fleet.Run(milliseconds(3000));
   for (const auto& gateway : fleet.gateways()) {
@@ -365,8 +376,8 @@
         static_cast<double>(gateway->sent.messages + gateway->received.messages) / kSeconds;
     double bytes_in = static_cast<double>(gateway->received.bytes) / kSeconds;
     double bytes_out = static_cast<double>(gateway->sent.bytes) / kSeconds;
-    if (!gateway->sums) {
-      // Reports each tenth of a second to three aggregators, here also without news.
+    if (!gateway->own_aggregator) {
+      // In this simulation, reports are sent each 100 ms to three aggregators even without changes.
       EXPECT_LT(messages, 60) << gateway->self.m_name;
       EXPECT_LT(bytes_in + bytes_out, 16000) << gateway->self.m_name;
     } else {
@@ -375,53 +386,54 @@
   }
 }
 
-TEST_P(FleetTest, EveryGatewayIsToldTheLoadsOfItsNeighbourhood) {
+TEST_P(FleetTest, AllGatewaysReceiveTheLoadsOfNeighborZones) {
   Fleet fleet(GetParam(), 13);
-  GiveLoads(fleet);
+  SetLoads(fleet);
   fleet.Run(milliseconds(6000));
-  // Nine zones at most are summed up; a runner's requests of all of those are counted once.
-  std::size_t heard_zones = std::min<std::size_t>(9, (GetParam() + kZoneSize - 1) / kZoneSize);
+  // Totals cover at most nine zones, and each request is counted once.
+  std::size_t covered_zones = std::min<std::size_t>(9, (GetParam() + kZoneSize - 1) / kZoneSize);
   for (const auto& gateway : fleet.gateways()) {
     std::uint32_t total = static_cast<std::uint32_t>(gateway->loads.size());
-    for (const auto& [runner, active] : gateway->others) {
+    for (const auto& [runner, active] : gateway->other_loads) {
       total += active;
     }
-    EXPECT_LE(total, heard_zones * kZoneSize) << gateway->self.m_name;
-    EXPECT_GE(total + kZoneSize, std::min(GetParam(), heard_zones * kZoneSize))
+    EXPECT_LE(total, covered_zones * kZoneSize) << gateway->self.m_name;
+    EXPECT_GE(total + kZoneSize, std::min(GetParam(), covered_zones * kZoneSize))
         << gateway->self.m_name;
   }
 }
 
-TEST_P(FleetTest, CalmFleetReplacesNoAggregator) {
+TEST_P(FleetTest, StableFleetReplacesNoAggregator) {
   Fleet fleet(GetParam(), 14);
   fleet.Run(milliseconds(5000));
   std::uint64_t writes = fleet.slot_writes();
   std::size_t zones = (GetParam() + kZoneSize - 1) / kZoneSize;
   EXPECT_LE(writes, 3 * zones);
   fleet.Run(milliseconds(8000));
-  EXPECT_EQ(fleet.slot_writes(), writes) << "a loss that was none";
+  EXPECT_EQ(fleet.slot_writes(), writes) << "no holder was lost";
 }
 
-TEST_P(FleetTest, ZoneThatLosesAllItsAggregatorsGetsOthersAndIsServedMeanwhile) {
+TEST_P(FleetTest, ZoneWithoutAggregatorsIsServedByOthersUntilItElectsNewOnes) {
   Fleet fleet(GetParam(), 15);
   fleet.Run(milliseconds(4000));
   for (auto& gateway : fleet.gateways()) {
-    if (gateway->sums && gateway->self.m_zone == "z0") {
+    if (gateway->own_aggregator && gateway->self.m_zone == "z0") {
       gateway->alive = false;
     }
   }
   fleet.Change(kRunners);
-  EXPECT_LT(fleet.UntilAllKnow(kRunners), milliseconds(14000))
-      << "other zones' aggregators tell it, or a new one of the zone after its patience";
+  EXPECT_LT(fleet.TimeUntilAllHave(kRunners), milliseconds(14000))
+      << "aggregators of other zones send it, or new ones after the holder timeout";
   fleet.Run(milliseconds(10000));
   std::size_t aggregators = 0;
   for (auto& gateway : fleet.gateways()) {
-    aggregators += gateway->alive && gateway->sums && gateway->self.m_zone == "z0" ? 1 : 0;
+    aggregators +=
+        gateway->alive && gateway->own_aggregator && gateway->self.m_zone == "z0" ? 1 : 0;
   }
   EXPECT_EQ(aggregators, slots_per_zone);
 }
 
-TEST_P(FleetTest, GatewaysThatTheStoreTurnsAwayLearnItsChanges) {
+TEST_P(FleetTest, GatewaysWithoutAccessToTheStoreReceiveItsChanges) {
   Fleet fleet(GetParam(), 16);
   fleet.Run(milliseconds(4000));
   std::size_t number = 0;
@@ -429,9 +441,9 @@
     gateway->reaches_store = ++number % 3 == 0;
   }
   fleet.Change(kRunners);
-  // Where none of a zone's aggregators reaches it, another zone's do; a lone zone's gateways begin
-  // to watch one after the other.
-  EXPECT_LT(fleet.UntilAllKnow(kRunners), milliseconds(6000));
+  // A zone whose aggregators have no access is served by other zones; in a single zone, ordinary
+  // gateways start to watch after a jittered delay.
+  EXPECT_LT(fleet.TimeUntilAllHave(kRunners), milliseconds(6000));
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, FleetTest, ::testing::Values(30, 100, 300, 1400));
--- a/tests/aggregation/load_sums_test.cc
+++ b/tests/aggregation/load_sums_test.cc
@@ -1,4 +1,4 @@
-// What the requests of several sources at each runner sum up to.
+// Tests of the sums of loads by runner, and of the totals that an aggregator sends.
 #include "aggregation/load_sums.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,7 @@
   return active;
 }
 
-TEST(LoadSumsTest, LatestReportOfEachSourceCountsAtOnce) {
+TEST(LoadSumsTest, SumsTheLatestReportOfEachSource) {
   load_sums sums(kLifetime);
   sums.update(instant(), "g1", {{kA, 3}, {kB, 1}});
   sums.update(instant(), "g2", {{kA, 2}});
@@ -34,7 +34,7 @@
   EXPECT_EQ(Sum(sums), (Active{{kA, 3}}));
 }
 
-TEST(LoadSumsTest, SilentSourceCountsNoMore) {
+TEST(LoadSumsTest, ExpireRemovesSourcesWithoutAnUpdate) {
   load_sums sums(kLifetime);
   sums.update(instant(), "g1", {{kA, 3}});
   sums.update(instant() + kLifetime, "g2", {{kB, 4}});
@@ -42,7 +42,7 @@
   EXPECT_EQ(Sum(sums), (Active{{kB, 4}}));
 }
 
-RC_GTEST_PROP(LoadSumsPropertyTest, SumsAreThoseOfTheLatestReports, ()) {
+RC_GTEST_PROP(LoadSumsPropertyTest, EqualsTheSumOfTheLatestReports, ()) {
   load_sums sums(kLifetime);
   std::map<std::string, std::map<std::uint32_t, std::uint32_t>> latest;
   auto steps = *rc::gen::inRange(1, 40);
@@ -67,7 +67,7 @@
   }
 }
 
-TEST(PendingNewsTest, OutcomesAreToldOnceAndWhatDoesNotFitComesWithTheNextMessage) {
+TEST(PendingUpdatesTest, OutcomesAreSentOnceAndExcessCarriesOver) {
   pending_updates updates(8);
   updates.record({{kA, 0, 200, 0}, {kB, 0, 1, 2}}, {});
   updates.record({{kA, 0, 200, 0}}, {});
@@ -84,7 +84,7 @@
   EXPECT_TRUE(updates.take_loads({}).empty());
 }
 
-TEST(PendingNewsTest, PlacementsBeyondTheCapAreDroppedAndCounted) {
+TEST(PendingUpdatesTest, PlacementsBeyondTheLimitAreDroppedAndCounted) {
   pending_updates updates(2);
   updates.record({}, {{1, 10, kA}, {2, 10, kA}, {3, 10, kA}});
   EXPECT_EQ(updates.take_placements().size(), 2U);
@@ -99,8 +99,9 @@
   return report;
 }
 
-TEST(AggregatorTest, OtherZonesGatewaysDoNotCrowdOutItsOwn) {
-  // At the start of 1,400 simulated gateways the first aggregator was full of other zones'.
+TEST(AggregatorTest, MembersOfOtherZonesDoNotDisplaceItsOwn) {
+  // Regression test: at the start of a large fleet, the first aggregator was full of gateways of
+  // other zones.
   aggregator sums({"self", "z", {"10.0.0.1", 1}}, 7);
   for (int number = 0; number < 500; ++number) {
     sums.handle(instant(), ReportFrom("foreign" + std::to_string(number), "y"));
@@ -109,10 +110,10 @@
   sums.handle(instant(), ReportFrom("own", "z"));
   EXPECT_TRUE(sums.has_live_member(instant(), "own"));
   sums.expire(instant() + milliseconds(2000));
-  EXPECT_EQ(sums.members().size(), 1U) << "they went back to their own";
+  EXPECT_EQ(sums.members().size(), 1U) << "members of other zones expire sooner";
 }
 
-TEST(AggregatorTest, SumsToldOnCountOnceWhoeverSpeaksForTheZone) {
+TEST(AggregatorTest, RelayedAndDirectSummariesAreNotCountedTwice) {
   aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
   zone_summary relayed;
   relayed.m_from = {"a", "z", {"10.0.0.1", 2}};
@@ -133,14 +134,9 @@
   EXPECT_EQ(sums.gateway_count(instant()), 40U);
 }
 
-// Symptom: for up to a source's lifetime an aggregator told twice as many requests and gateways of
-// the other zones as there were.
-// Sequence: it speaks for its zone, or hears no speaker, and takes the other zones' own sums; then
-// one of its zone speaks again and tells the sums of all the others on; or the other way round.
-// Cause: each kind of sum was kept under its own sender, beside the one of the other kind that it
-// contains, until that one's lifetime was over.
-// What settled it: the change of speaker alone, at one instant, with the same five requests.
-TEST(AggregatorTest, ChangeOfSpeakerNeverAddsTheSumsBeforeToThoseAfter) {
+// Regression test: after a change of the representative, relayed and direct summaries were both
+// counted until one of them expired.
+TEST(AggregatorTest, ChangeOfRepresentativeReplacesEarlierTotals) {
   zone_summary relayed;
   relayed.m_from = {"a", "z", {"10.0.0.1", 2}};
   relayed.m_gateways = 40;
@@ -148,44 +144,45 @@
   relayed.m_loads = {{kA, 5, 0, 0}};
   zone_summary direct = relayed;
   direct.m_from = {"c", "y", {"10.0.0.1", 3}};
-  const milliseconds silence = aggregator_options{}.m_source_timeout;
-  struct SpeakerCase {
+  const milliseconds timeout = aggregator_options{}.m_source_timeout;
+  struct RepresentativeCase {
     const char* name;
-    bool speaks_before;
+    bool is_representative_before;
     zone_summary before;
     zone_summary after;
     milliseconds between;
   };
-  const SpeakerCase cases[] = {
-      {"stops speaking, another tells on", true, direct, relayed, milliseconds(0)},
-      {"heard no speaker, then one", false, direct, relayed, milliseconds(0)},
-      {"the speaker fell silent", false, relayed, direct, silence},
-      {"takes over from the speaker", false, relayed, direct, milliseconds(0)},
+  const RepresentativeCase cases[] = {
+      {"is replaced as the representative", true, direct, relayed, milliseconds(0)},
+      {"had no live representative, then one", false, direct, relayed, milliseconds(0)},
+      {"the representative became unresponsive", false, relayed, direct, timeout},
+      {"takes over from the representative", false, relayed, direct, milliseconds(0)},
   };
-  for (const SpeakerCase& test : cases) {
+  for (const RepresentativeCase& test : cases) {
     SCOPED_TRACE(test.name);
     aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
     instant now;
-    sums.set_representative(now, test.speaks_before);
+    sums.set_representative(now, test.is_representative_before);
     sums.handle(now, test.before);
     now += test.between;
-    bool takes_over = test.after.m_from.m_zone != "z" && test.between == milliseconds(0);
-    sums.set_representative(now, takes_over);
+    bool is_representative_after =
+        test.after.m_from.m_zone != "z" && test.between == milliseconds(0);
+    sums.set_representative(now, is_representative_after);
     sums.handle(now, test.after);
-    digest loads_by_runner = sums.make_digest(now);
-    EXPECT_EQ(loads_by_runner.m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
-    EXPECT_EQ(loads_by_runner.m_gateways, 40U);
-    EXPECT_EQ(loads_by_runner.m_without_ledger, 4U);
+    digest totals = sums.make_digest(now);
+    EXPECT_EQ(totals.m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
+    EXPECT_EQ(totals.m_gateways, 40U);
+    EXPECT_EQ(totals.m_without_ledger, 4U);
   }
 }
 
-TEST(AggregatorTest, WhatAnotherToldBeforeIsNotToldAgainByTheOneThatTakesOver) {
+TEST(AggregatorTest, NewRepresentativeDoesNotRepeatOutcomesSentByThePrevious) {
   aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
   member_report report = ReportFrom("own", "z");
   report.m_loads = {{kA, 0, 9, 9}};
   sums.handle(instant(), report);
   sums.set_representative(instant(), true);
-  EXPECT_TRUE(sums.make_summary(instant()).m_loads.empty()) << "old losses would count as new";
+  EXPECT_TRUE(sums.make_summary(instant()).m_loads.empty()) << "outcomes must not be sent twice";
   sums.handle(instant(), report);
   EXPECT_EQ(sums.make_summary(instant()).m_loads, (std::vector<runner_load>{{kA, 0, 9, 9}}));
 }
--- a/tests/aggregation/member_view_test.cc
+++ b/tests/aggregation/member_view_test.cc
@@ -1,4 +1,4 @@
-// Whom a gateway reports to, whose digests it goes by, and what it takes from them.
+// Tests of which aggregators a gateway reports to, whose digests it applies, and how.
 #include "aggregation/member_view.h"
 
 #include <gtest/gtest.h>
@@ -27,19 +27,19 @@
     table_["y"][2] = {Gateway("f", "y", 6), 1};
     view_.set_slots(table_);
   }
-  digest From(const std::string& name, bool full = true) {
-    digest told;
+  digest DigestFrom(const std::string& name, bool full = true) {
+    digest message;
     for (const auto& [zone, slots] : table_) {
-      for (const auto& [number, taken] : slots) {
-        if (taken.m_holder->m_name == name) {
-          told.m_from = *taken.m_holder;
+      for (const auto& [number, current] : slots) {
+        if (current.m_holder->m_name == name) {
+          message.m_from = *current.m_holder;
         }
       }
     }
-    told.m_full = full;
-    told.m_store_reachable = true;
-    told.m_gateways = 50;
-    return told;
+    message.m_full = full;
+    message.m_store_reachable = true;
+    message.m_gateways = 50;
+    return message;
   }
   std::uint16_t Primary(milliseconds at) {
     for (const report_target& target : view_.report_targets(instant() + at)) {
@@ -49,7 +49,9 @@
     }
     return 0;
   }
-  bool Take(const digest& told, milliseconds at) { return view_.handle(instant() + at, told); }
+  bool Handle(const digest& message, milliseconds at) {
+    return view_.handle(instant() + at, message);
+  }
 
   slot_table table_;
   member_view view_{Gateway("g", "z", 9)};
@@ -57,7 +59,7 @@
 
 TEST_F(MemberViewTest, ReportsToItsZonesAggregatorsOnly) {
   for (const char* name : {"a", "b", "c"}) {
-    Take(From(name), milliseconds(0));
+    Handle(DigestFrom(name), milliseconds(0));
   }
   std::vector<report_target> targets = view_.report_targets(instant());
   ASSERT_EQ(targets.size(), 3U);
@@ -66,7 +68,7 @@
   }
 }
 
-TEST_F(MemberViewTest, GatewaysPreferDifferentAggregators) {
+TEST_F(MemberViewTest, PreferencesAreBalancedAmongAggregators) {
   std::map<std::uint16_t, int> preferred;
   for (int number = 0; number < 300; ++number) {
     member_view view(Gateway("g" + std::to_string(number), "z", 9));
@@ -80,19 +82,19 @@
   }
 }
 
-TEST_F(MemberViewTest, OnlyThePrimarysLoadsAreTakenAndAnotherFollowsItsSilence) {
+TEST_F(MemberViewTest, AppliesOnlyThePrimarysLoadsAndReplacesAnUnresponsivePrimary) {
   for (const char* name : {"a", "b", "c"}) {
-    Take(From(name), milliseconds(0));
+    Handle(DigestFrom(name), milliseconds(0));
   }
   std::uint16_t first = Primary(milliseconds(0));
-  int taken = 0;
+  int current = 0;
   for (const char* name : {"a", "b", "c"}) {
-    taken += Take(From(name), milliseconds(100)) ? 1 : 0;
+    current += Handle(DigestFrom(name), milliseconds(100)) ? 1 : 0;
   }
-  EXPECT_EQ(taken, 1);
+  EXPECT_EQ(current, 1);
   for (const char* name : {"a", "b", "c"}) {
-    if (From(name).m_from.m_endpoint.port != first) {
-      Take(From(name), milliseconds(1000));
+    if (DigestFrom(name).m_from.m_endpoint.port != first) {
+      Handle(DigestFrom(name), milliseconds(1000));
     }
   }
   std::uint16_t second = Primary(milliseconds(1000));
@@ -100,67 +102,65 @@
   EXPECT_NE(second, 0);
 }
 
-TEST_F(MemberViewTest, OtherZonesAggregatorsStandInForLostOnes) {
+TEST_F(MemberViewTest, ReportsToOtherZonesWhileItsAggregatorsAreLost) {
   for (const char* name : {"a", "b", "c"}) {
-    Take(From(name), milliseconds(0));
+    Handle(DigestFrom(name), milliseconds(0));
   }
   std::vector<report_target> targets = view_.report_targets(instant() + milliseconds(2000));
-  EXPECT_EQ(targets.size(), 5U) << "the lost ones may come back";
-  std::string stand_in = table_["y"][0].m_holder->m_name;
+  EXPECT_EQ(targets.size(), 5U) << "the lost aggregators may recover";
+  std::string fallback = table_["y"][0].m_holder->m_name;
   for (const char* name : {"d", "e", "f"}) {
-    Take(From(name), milliseconds(2100));
+    Handle(DigestFrom(name), milliseconds(2100));
   }
   EXPECT_GE(Primary(milliseconds(2100)), 4);
 }
 
-TEST_F(MemberViewTest, AggregatorThatTheSlotsDoNotNameYetIsReportedToWhileItSpeaks) {
+TEST_F(MemberViewTest, ReportsToLiveAggregatorThatIsNotInTheSlotTable) {
   member_view fresh(Gateway("g", "z", 9));
   EXPECT_TRUE(fresh.report_targets(instant()).empty());
-  fresh.handle(instant(), From("a", /*full=*/false));
+  fresh.handle(instant(), DigestFrom("a", /*full=*/false));
   ASSERT_EQ(fresh.report_targets(instant()).size(), 1U);
   EXPECT_TRUE(fresh.report_targets(instant())[0].m_primary);
 }
 
-TEST_F(MemberViewTest, OwnShareIsTakenOffADigest) {
+TEST_F(MemberViewTest, SubtractsOwnShareFromADigest) {
   view_.record_reported(instant(), {{kRunner, 2, 3, 1}});
   std::vector<runner_load> others = view_.subtract_own({{kRunner, 7, 4, 1}, {6, 1, 0, 0}});
   ASSERT_EQ(others.size(), 2U);
   EXPECT_EQ(others[0], (runner_load{kRunner, 5, 1, 0}));
   EXPECT_EQ(others[1], (runner_load{6, 1, 0, 0}));
   others = view_.subtract_own({{kRunner, 7, 4, 1}});
-  EXPECT_EQ(others[0], (runner_load{kRunner, 5, 4, 1})) << "own outcomes come back once";
+  EXPECT_EQ(others[0], (runner_load{kRunner, 5, 4, 1})) << "own outcomes are subtracted once";
 }
 
-TEST_F(MemberViewTest, OwnOutcomesThatGotLostAreNotTakenOffLaterOnes) {
+TEST_F(MemberViewTest, OutcomesLostInTransitAreNotSubtractedLater) {
   view_.record_reported(instant(), {{kRunner, 0, 5, 0}});
   view_.record_reported(instant() + milliseconds(2100), {});
   EXPECT_EQ(view_.subtract_own({{kRunner, 0, 3, 0}})[0].m_served, 3);
 }
 
-TEST_F(MemberViewTest, ContactAndCountsGoWithSilence) {
-  digest told = From("a");
-  told.m_without_ledger = 4;
-  told.m_with_ledger = {{"10.0.0.1", 21}, {"10.0.0.1", 9}, {"10.0.0.1", 22}};
-  Take(told, milliseconds(0));
+TEST_F(MemberViewTest, StoreReachabilityAndLedgerCountsExpire) {
+  digest message = DigestFrom("a");
+  message.m_without_ledger = 4;
+  message.m_with_ledger = {{"10.0.0.1", 21}, {"10.0.0.1", 9}, {"10.0.0.1", 22}};
+  Handle(message, milliseconds(0));
   EXPECT_TRUE(view_.any_reaches_store(instant() + milliseconds(1500)));
   EXPECT_EQ(view_.gateways_without_ledger(instant() + milliseconds(1500)), 4U);
   EXPECT_EQ(view_.gateways_with_ledger(instant() + milliseconds(1500), 4).size(), 2U)
-      << "not itself";
+      << "without this gateway";
   EXPECT_FALSE(view_.any_reaches_store(instant() + milliseconds(1700)));
   EXPECT_EQ(view_.gateways_without_ledger(instant() + milliseconds(1700)), 0U);
   EXPECT_TRUE(view_.gateways_with_ledger(instant() + milliseconds(1700), 4).empty());
-  EXPECT_EQ(view_.gateway_count(), 50U) << "silence is no proof that they are gone";
-  told.m_store_reachable = false;
-  Take(told, milliseconds(1700));
+  EXPECT_EQ(view_.gateway_count(), 50U) << "gateways may be alive without a recent digest";
+  message.m_store_reachable = false;
+  Handle(message, milliseconds(1700));
   EXPECT_FALSE(view_.any_reaches_store(instant() + milliseconds(1700)));
 }
 
-// The store turned away one machine of each zone at once, the three that watched it. The others
-// began to watch 2.6 s later (`store_lost` at 2.56 s, `store_watching` at 5.16 s), and a
-// configuration that was acknowledged at 2.80 s was unknown at 5.05 s: what a gateway had said of
-// its contact counted until it had been silent for 1.6 s, though it said in each tenth of a second
-// that it had none.
-TEST_F(MemberViewTest, AggregatorThatSaysItLostTheStoreCountsNoLonger) {
+// Regression test: a report that the store was reachable stayed valid until the lost timeout
+// although the sender had since reported the store as unreachable, so other gateways started to
+// watch too late.
+TEST_F(MemberViewTest, ReportOfAnUnreachableStoreTakesEffectAtOnce) {
   zone_summary own;
   own.m_from = Gateway("a", "z", 1);
   own.m_store_reachable = true;
@@ -169,7 +169,7 @@
   foreign.m_from = Gateway("d", "y", 4);
   foreign.m_store_reachable = true;
   view_.handle(instant(), foreign);
-  view_.handle(instant(), From("b"));
+  view_.handle(instant(), DigestFrom("b"));
   EXPECT_TRUE(view_.own_zone_reaches_store(instant()));
   EXPECT_TRUE(view_.other_zone_reaches_store(instant()));
   EXPECT_TRUE(view_.any_reaches_store(instant()));
@@ -178,25 +178,25 @@
   own.m_store_reachable = false;
   view_.handle(later, own);
   EXPECT_FALSE(view_.own_zone_reaches_store(later));
-  EXPECT_TRUE(view_.other_zone_reaches_store(later)) << "said by another";
+  EXPECT_TRUE(view_.other_zone_reaches_store(later)) << "reported by another aggregator";
   foreign.m_store_reachable = false;
   view_.handle(later, foreign);
   EXPECT_FALSE(view_.other_zone_reaches_store(later));
-  EXPECT_TRUE(view_.any_reaches_store(later)) << "by a digest";
-  digest without = From("b");
-  without.m_store_reachable = false;
-  view_.handle(later, without);
+  EXPECT_TRUE(view_.any_reaches_store(later)) << "reported in a digest";
+  digest unreachable = DigestFrom("b");
+  unreachable.m_store_reachable = false;
+  view_.handle(later, unreachable);
   EXPECT_FALSE(view_.any_reaches_store(later));
 }
 
-TEST_F(MemberViewTest, WhatAnAggregatorTellsOfItsZoneAndOfItselfAreKeptApart) {
-  view_.handle(instant(), From("a"));
-  zone_summary sums;
-  sums.m_from = Gateway("a", "z", 1);
-  sums.m_store_reachable = false;
-  view_.handle(instant(), sums);
+TEST_F(MemberViewTest, SummaryDoesNotOverrideTheStoreReportOfADigest) {
+  view_.handle(instant(), DigestFrom("a"));
+  zone_summary summary;
+  summary.m_from = Gateway("a", "z", 1);
+  summary.m_store_reachable = false;
+  view_.handle(instant(), summary);
   EXPECT_TRUE(view_.any_reaches_store(instant()))
-      << "its digest says that another zone has contact";
+      << "the digest reports that another zone reaches the store";
 }
 
 }  // namespace
--- a/tests/aggregation/slots_test.cc
+++ b/tests/aggregation/slots_test.cc
@@ -1,4 +1,4 @@
-// Which gateways take the aggregators' slots of their zone, and when.
+// Tests of when gateways claim the aggregator slots of their zone.
 #include "aggregation/slots.h"
 
 #include <gtest/gtest.h>
@@ -14,153 +14,153 @@
   return {name, zone, {"10.0.0.1", 1}};
 }
 
-class SlotClaimsTest : public ::testing::Test {
+class SlotClaimPolicyTest : public ::testing::Test {
  protected:
-  std::optional<slot_claim> Next(slot_claim_policy& claims, milliseconds at) {
-    auto claim = claims.next_claim({instant() + at, &heard_}, table_);
+  std::optional<slot_claim> NextClaim(slot_claim_policy& policy, milliseconds at) {
+    auto claim = policy.next_claim({instant() + at, &last_seen_}, table_);
     if (claim) {
-      claims.record_attempt(instant() + at, *claim);
+      policy.record_attempt(instant() + at, *claim);
     }
     return claim;
   }
-  /// When the gateway first tries for a slot, or nothing within a minute.
-  std::optional<milliseconds> FirstTry(slot_claim_policy& claims,
-                                       milliseconds from = milliseconds(0)) {
+  /// @return when the gateway first claims a slot, if it does within a minute.
+  std::optional<milliseconds> FirstClaim(slot_claim_policy& policy,
+                                         milliseconds from = milliseconds(0)) {
     for (milliseconds at = from; at < milliseconds(60000); at += milliseconds(50)) {
-      if (hears_others_) {
-        heard_["other"] = instant() + at;
+      if (others_alive_) {
+        last_seen_["other"] = instant() + at;
       }
-      if (Next(claims, at)) {
+      if (NextClaim(policy, at)) {
         return at;
       }
     }
     return std::nullopt;
   }
-  void Fill(std::size_t number, const std::string& holder) {
+  void SetHolder(std::size_t number, const std::string& holder) {
     table_["z"][number] = {Gateway(holder), 7 + number};
   }
 
   slot_table table_;
-  std::map<std::string, instant> heard_;
-  bool hears_others_ = false;
+  std::map<std::string, instant> last_seen_;
+  bool others_alive_ = false;
 };
 
-TEST_F(SlotClaimsTest, VacantSlotIsTakenAfterAPauseOfItsOwn) {
-  std::set<milliseconds> tries;
+TEST_F(SlotClaimPolicyTest, ClaimsVacantSlotAfterDelayDerivedFromItsName) {
+  std::set<milliseconds> claim_times;
   for (int number = 0; number < 40; ++number) {
-    slot_claim_policy claims(Gateway("g" + std::to_string(number)), 0.5);
-    auto at = FirstTry(claims);
+    slot_claim_policy policy(Gateway("g" + std::to_string(number)), 0.5);
+    auto at = FirstClaim(policy);
     ASSERT_TRUE(at);
     EXPECT_LE(*at, milliseconds(1000));
-    tries.insert(*at);
+    claim_times.insert(*at);
   }
-  EXPECT_GT(tries.size(), 5U) << "they don't all try at the same time";
+  EXPECT_GT(claim_times.size(), 5U) << "claims must be spread over time";
 }
 
-// A gateway whose copy of the slots was half a second behind took all three of its zone, one a
-// tenth of a second after the other: its own claim did not stand there yet. The zone had one
-// aggregator, and when that one was killed, nobody told its restarted neighbour anything for 4.5 s.
-TEST_F(SlotClaimsTest, GatewayThatHasJustTakenASlotTakesNoOtherBeforeItSeesIt) {
-  slot_claim_policy claims(Gateway("g"), 0.5);
-  auto first = FirstTry(claims);
+// Regression test: a gateway with an outdated slot table claimed all slots of its zone, since its
+// own first claim was not in the table yet.
+TEST_F(SlotClaimPolicyTest, ClaimsNoOtherSlotWhileItsClaimIsNotInTheTable) {
+  slot_claim_policy policy(Gateway("g"), 0.5);
+  auto first = FirstClaim(policy);
   ASSERT_TRUE(first);
-  claims.record_claim(instant() + *first);
-  auto second = FirstTry(claims, *first + milliseconds(50));
-  ASSERT_TRUE(second) << "the answer may have been lost, and nothing taken";
+  policy.record_claim(instant() + *first);
+  auto second = FirstClaim(policy, *first + milliseconds(50));
+  ASSERT_TRUE(second) << "the claim may have failed";
   EXPECT_GE(*second - *first, slot_options().m_retry_interval);
 }
 
-TEST_F(SlotClaimsTest, MachineWithLittleProcessorLetsOthersTryFirst) {
-  slot_claim_policy strong(Gateway("g"), 0.5);
-  slot_claim_policy weak(Gateway("g"), 0.12);
-  auto first = FirstTry(strong);
-  auto second = FirstTry(weak);
+TEST_F(SlotClaimPolicyTest, MachineWithLowProcessorShareClaimsLater) {
+  slot_claim_policy high_share(Gateway("g"), 0.5);
+  slot_claim_policy low_share(Gateway("g"), 0.12);
+  auto first = FirstClaim(high_share);
+  auto second = FirstClaim(low_share);
   ASSERT_TRUE(first && second);
   EXPECT_GE(*second, *first + milliseconds(500));
 }
 
-TEST_F(SlotClaimsTest, HolderOfASlotTakesNoOther) {
-  Fill(1, "g");
-  slot_claim_policy claims(Gateway("g"), 0.5);
-  EXPECT_EQ(claims.held_slot(table_), 1U);
-  EXPECT_FALSE(FirstTry(claims));
+TEST_F(SlotClaimPolicyTest, HolderClaimsNoOtherSlot) {
+  SetHolder(1, "g");
+  slot_claim_policy policy(Gateway("g"), 0.5);
+  EXPECT_EQ(policy.held_slot(table_), 1U);
+  EXPECT_FALSE(FirstClaim(policy));
 }
 
-TEST_F(SlotClaimsTest, HolderThatCameBackAtAnotherAddressWritesItDown) {
+TEST_F(SlotClaimPolicyTest, HolderWithANewAddressUpdatesItsSlot) {
   table_["z"][1] = {contact{"g", "z", {"10.0.0.9", 1}}, 12};
-  slot_claim_policy claims(Gateway("g"), 0.5);
-  auto claim = Next(claims, milliseconds(0));
+  slot_claim_policy policy(Gateway("g"), 0.5);
+  auto claim = NextClaim(policy, milliseconds(0));
   ASSERT_TRUE(claim);
   EXPECT_EQ(claim->m_slot, 1U);
   EXPECT_EQ(claim->m_revision, 12U);
 }
 
-TEST_F(SlotClaimsTest, SilentHolderIsReplacedOnTheConditionOfItsRecord) {
-  Fill(0, "a");
-  Fill(1, "b");
-  Fill(2, "silent");
-  slot_claim_policy claims(Gateway("g"), 0.5);
+TEST_F(SlotClaimPolicyTest, ReplacesUnresponsiveHolderConditionallyOnItsRecord) {
+  SetHolder(0, "a");
+  SetHolder(1, "b");
+  SetHolder(2, "silent");
+  slot_claim_policy policy(Gateway("g"), 0.5);
   for (milliseconds at(0); at < milliseconds(3000); at += milliseconds(100)) {
     for (const char* holder : {"a", "b", "silent"}) {
-      heard_[holder] = instant() + at;
+      last_seen_[holder] = instant() + at;
     }
-    EXPECT_FALSE(Next(claims, at));
+    EXPECT_FALSE(NextClaim(policy, at));
   }
   std::optional<slot_claim> claim;
   milliseconds at(3000);
   for (; !claim && at < milliseconds(60000); at += milliseconds(100)) {
-    heard_["a"] = heard_["b"] = instant() + at;
-    claim = Next(claims, at);
+    last_seen_["a"] = last_seen_["b"] = instant() + at;
+    claim = NextClaim(policy, at);
   }
   ASSERT_TRUE(claim);
   EXPECT_EQ(claim->m_slot, 2U);
   EXPECT_EQ(claim->m_revision, 9U);
-  EXPECT_GE(at, milliseconds(3000 + 4000)) << "a process that restarts is no lost one";
+  EXPECT_GE(at, milliseconds(3000 + 4000)) << "a restarting process must keep its slot";
 }
 
-TEST_F(SlotClaimsTest, GatewayThatHearsNobodyMayBeTheOneThatIsCutOff) {
-  Fill(0, "a");
-  Fill(1, "b");
-  Fill(2, "c");
-  slot_claim_policy alone(Gateway("g"), 0.5);
-  auto cut_off = FirstTry(alone);
-  ASSERT_TRUE(cut_off) << "all may be gone for good";
-  EXPECT_GE(*cut_off, milliseconds(10000));
-  hears_others_ = true;
-  slot_claim_policy in_touch(Gateway("g"), 0.5);
-  auto in_touch_try = FirstTry(in_touch);
-  ASSERT_TRUE(in_touch_try);
-  EXPECT_LT(*in_touch_try, milliseconds(6000));
+TEST_F(SlotClaimPolicyTest, WaitsLongerWhileNoAggregatorIsAlive) {
+  SetHolder(0, "a");
+  SetHolder(1, "b");
+  SetHolder(2, "c");
+  slot_claim_policy isolated(Gateway("g"), 0.5);
+  auto isolated_claim = FirstClaim(isolated);
+  ASSERT_TRUE(isolated_claim) << "all holders may be lost permanently";
+  EXPECT_GE(*isolated_claim, milliseconds(10000));
+  others_alive_ = true;
+  slot_claim_policy connected(Gateway("g"), 0.5);
+  auto connected_claim = FirstClaim(connected);
+  ASSERT_TRUE(connected_claim);
+  EXPECT_LT(*connected_claim, milliseconds(6000));
 }
 
-TEST_F(SlotClaimsTest, HolderThatBecameKnownLateIsGivenItsTimeFromThenOn) {
-  // The simulated fleet of 1,400: aggregators known only after four seconds were replaced at once.
-  slot_claim_policy claims(Gateway("g"), 0.5);
-  Fill(0, "g-other");
-  hears_others_ = true;
-  heard_["other"] = instant();
+TEST_F(SlotClaimPolicyTest, HolderTimeoutStartsWhenTheHolderBecomesKnown) {
+  // Regression test: holders that became known late were replaced at once.
+  slot_claim_policy policy(Gateway("g"), 0.5);
+  SetHolder(0, "g-other");
+  others_alive_ = true;
+  last_seen_["other"] = instant();
   table_["z"][1] = {Gateway("b"), 1};
   table_["z"][2] = {Gateway("c"), 1};
   for (milliseconds at(0); at < milliseconds(6000); at += milliseconds(100)) {
-    heard_["other"] = heard_["g-other"] = heard_["b"] = heard_["c"] = instant() + at;
-    ASSERT_FALSE(Next(claims, at));
+    last_seen_["other"] = last_seen_["g-other"] = last_seen_["b"] = last_seen_["c"] =
+        instant() + at;
+    ASSERT_FALSE(NextClaim(policy, at));
   }
-  Fill(2, "late");
+  SetHolder(2, "late");
   for (milliseconds at(6000); at < milliseconds(9900); at += milliseconds(100)) {
-    heard_["other"] = heard_["g-other"] = heard_["b"] = instant() + at;
-    EXPECT_FALSE(Next(claims, at)) << at.count();
+    last_seen_["other"] = last_seen_["g-other"] = last_seen_["b"] = instant() + at;
+    EXPECT_FALSE(NextClaim(policy, at)) << at.count();
   }
 }
 
-TEST_F(SlotClaimsTest, SlotThatWasJustTriedForIsNotTriedForAgainAtOnce) {
-  slot_claim_policy claims(Gateway("g"), 0.5);
-  auto at = FirstTry(claims);
+TEST_F(SlotClaimPolicyTest, DoesNotRetryASlotWithinTheRetryInterval) {
+  slot_claim_policy policy(Gateway("g"), 0.5);
+  auto at = FirstClaim(policy);
   ASSERT_TRUE(at);
-  std::size_t tries = 0;
+  std::size_t claim_count = 0;
   for (milliseconds later = *at; later < *at + milliseconds(1400); later += milliseconds(50)) {
-    tries += Next(claims, later) ? 1 : 0;
+    claim_count += NextClaim(policy, later) ? 1 : 0;
   }
-  EXPECT_LE(tries, 2U) << "each of the other two slots once";
+  EXPECT_LE(claim_count, 2U) << "at most one claim for each of the other two slots";
 }
 
 }  // namespace
--- a/tests/aggregation/watch_policy_test.cc
+++ b/tests/aggregation/watch_policy_test.cc
@@ -1,4 +1,4 @@
-// When gateways begin to watch the store themselves.
+// Tests of when gateways start to watch the store themselves.
 #include "aggregation/watch_policy.h"
 
 #include <gtest/gtest.h>
@@ -8,41 +8,40 @@
 
 using std::chrono::milliseconds;
 
-/// @return when the gateway begins to watch, or nothing within a minute.
-std::optional<milliseconds> Begins(watch_policy& decision, watch_state seen) {
+/// @return when the gateway starts to watch, if it does within a minute.
+std::optional<milliseconds> FirstWatch(watch_policy& policy, watch_state state) {
   for (milliseconds at(0); at < milliseconds(60000); at += milliseconds(100)) {
-    seen.m_now = instant() + at;
-    if (decision.should_watch(seen)) {
+    state.m_now = instant() + at;
+    if (policy.should_watch(state)) {
       return at;
     }
   }
   return std::nullopt;
 }
 
-// A deployment allows 2 s from a change to its being in force everywhere. An aggregator that stood
-// in a second after the one that watches for its zone had lost the store was too late for a change
-// just after.
-TEST(WatchDecisionTest, OtherAggregatorsStandInWithinAFractionOfTheBounds) {
-  watch_policy decision("g");
-  watch_state seen;
-  seen.m_is_aggregator = true;
-  seen.m_any_reaches_store = true;
-  auto begins = Begins(decision, seen);
-  ASSERT_TRUE(begins);
-  EXPECT_LE(*begins, milliseconds(500));
-  EXPECT_GE(*begins, milliseconds(200)) << "one lost answer is asked for again first";
+// A change must be applied everywhere within 2 s, so other aggregators must take over the watch
+// well before that when the representative loses the store.
+TEST(WatchPolicyTest, OtherAggregatorsTakeOverWithinHalfASecond) {
+  watch_policy policy("g");
+  watch_state state;
+  state.m_is_aggregator = true;
+  state.m_any_reaches_store = true;
+  auto first_watch = FirstWatch(policy, state);
+  ASSERT_TRUE(first_watch);
+  EXPECT_LE(*first_watch, milliseconds(500));
+  EXPECT_GE(*first_watch, milliseconds(200)) << "the representative retries a lost reply first";
 }
 
-TEST(WatchDecisionTest, OrdinaryGatewayWaitsLongerAndNotAtAllWhileSomebodyIsInContact) {
-  watch_policy decision("g");
-  watch_state seen;
-  seen.m_any_reaches_store = true;
-  EXPECT_FALSE(Begins(decision, seen));
-  watch_policy alone("g");
-  seen.m_any_reaches_store = false;
-  auto begins = Begins(alone, seen);
-  ASSERT_TRUE(begins);
-  EXPECT_GE(*begins, watch_options().m_fallback_delay);
+TEST(WatchPolicyTest, OrdinaryGatewayWatchesOnlyIfNoAggregatorReachesTheStore) {
+  watch_policy policy("g");
+  watch_state state;
+  state.m_any_reaches_store = true;
+  EXPECT_FALSE(FirstWatch(policy, state));
+  watch_policy fallback("g");
+  state.m_any_reaches_store = false;
+  auto first_watch = FirstWatch(fallback, state);
+  ASSERT_TRUE(first_watch);
+  EXPECT_GE(*first_watch, watch_options().m_fallback_delay);
 }
 
 }  // namespace
