--- /dev/null
+++ b/src/roles/exchange/change_sender.h
@@ -0,0 +1,56 @@
+// Sends peers the changes in this process's store mirrors that they lack.
+#pragma once
+
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <optional>
+#include <string>
+
+#include "aggregation/messages.h"
+#include "store/prefix_mirror.h"
+#include "turn_ledger/messages.h"
+#include "wire/transport.h"
+
+namespace martenyard::roles
+{
+
+/// the mirrors whose changes are propagated, in the order of aggregation::mirror_revisions
+using mirror_list = std::array<store::PrefixMirror*, aggregation::mirror_count>;
+
+/// @return the revision of the last change of each mirror
+aggregation::mirror_revisions last_revisions(const mirror_list& mirrors);
+
+/// @brief not thread-safe: for the event loop's thread only
+class change_sender
+{
+  public:
+    /// All references must outlive the object.
+    /// @param[in] self  returns the machine that is named as the sender
+    change_sender(wire::Transport& transport, const mirror_list& mirrors,
+                  std::function<turn_ledger::Machine()> self);
+
+    /// @brief sends the changes after `from_revision`, or nothing while earlier data to the peer is unsent:
+    /// it
+    ///        requests them again
+    /// @param[in] mirror  a valid index
+    void send(const wire::Endpoint& to, std::size_t mirror, std::uint64_t from_revision);
+
+  private:
+    wire::Transport& m_transport;
+    mirror_list m_mirrors;
+    std::function<turn_ledger::Machine()> m_self;
+
+    /// the last delta sent, encoded; many peers request the same one
+    struct encoded_delta
+    {
+        std::size_t m_mirror = 0;
+        std::uint64_t m_from_revision = 0;
+        std::uint64_t m_to_revision = 0;
+        std::string m_frame;
+    };
+    std::optional<encoded_delta> m_cached;
+};
+
+}  // namespace martenyard::roles
--- a/src/roles/exchange/zone_exchange.h
+++ b/src/roles/exchange/zone_exchange.h
@@ -1,9 +1,9 @@
-// A gateway's part in what gateways tell each other: loads, outcomes, the store's news. Wires the
-// decisions of aggregation/ to datagrams, frames, mirrors of the store and the runner table.
+// Exchange of loads, request outcomes and store changes between gateways. Connects the decision logic of
+// aggregation/ to datagrams, frames, store mirrors and the runner table.
 //
-// Every gateway reports to its zone's few aggregators and goes by the digests of one of them; a gateway
-// that holds a slot is an aggregator itself. What a gateway sends, receives and keeps doesn't grow with
-// the fleet. See docs/design/0007.
+// Every gateway reports to the aggregators of its zone and applies the digests of one of them; a gateway
+// that holds a slot is an aggregator itself. The traffic and memory of a gateway do not grow with the size
+// of the fleet. See docs/design/0007.
 #pragma once
 
 #include <array>
@@ -17,17 +17,17 @@
 #include <vector>
 
 #include "aggregation/aggregator.h"
+#include "aggregation/change_propagation.h"
 #include "aggregation/member_view.h"
 #include "aggregation/messages.h"
-#include "aggregation/news.h"
 #include "aggregation/slots.h"
-#include "aggregation/watching.h"
+#include "aggregation/watch_policy.h"
 #include "async_http/task.h"
 #include "event_log/event_log.h"
 #include "forwarding/gateway_state.h"
-#include "roles/exchange/lease_keeper.h"
+#include "roles/exchange/change_sender.h"
+#include "roles/exchange/lease_renewer.h"
 #include "roles/exchange/member_registry.h"
-#include "roles/exchange/news_sender.h"
 #include "roles/exchange/storage_link.h"
 #include "roles/role_settings.h"
 #include "store/metadata_store.h"
@@ -38,9 +38,9 @@
 namespace martenyard::roles
 {
 
-/// @brief the copies of the store's prefixes that gateways tell each other of, in the order of
-///        aggregation::known_changes
-struct followed_mirrors
+/// @brief the store mirrors whose changes gateways propagate, in the order of
+///        aggregation::mirror_revisions
+struct mirror_references
 {
     store::PrefixMirror& m_configuration;
     store::PrefixMirror& m_runners;
@@ -48,147 +48,146 @@
     store::PrefixMirror& m_aggregators;
 };
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct exchange_options
 {
-    /// an unchanged report is told again after this time
-    std::chrono::milliseconds m_quiet_interval{1000};
-    /// between a zone's sums to the other zones
+    /// an unchanged report is sent again after this time
+    std::chrono::milliseconds m_keepalive_interval{1000};
+    /// time between summaries to other zones
     std::chrono::milliseconds m_summary_interval{100};
-    /// zones that sums are exchanged with
-    std::size_t m_most_zones = 8;
-    /// an aggregator that said nothing for this long doesn't speak for its zone; digests to other
-    /// aggregators and sums come each half a second at least
-    std::chrono::milliseconds m_speaker_patience{900};
-    /// registered gateways that are silent get a short digest so often
+    /// number of zones that summaries are exchanged with
+    std::size_t m_max_zones = 8;
+    /// an aggregator without a message for this time does not represent its zone; aggregators send at least
+    /// one message each 500 ms
+    std::chrono::milliseconds m_representative_timeout{900};
+    /// time between short digests to registered gateways that do not report
     std::chrono::milliseconds m_introduction_interval{1000};
-    /// without a full digest for this long, other gateways' requests count as none
+    /// without a full digest for this time, the loads of other gateways are reset
     std::chrono::milliseconds m_digest_lifetime{1600};
-    /// who may take a slot looks at the slots' records for so long first: another may just have done so
-    std::chrono::milliseconds m_look{300};
-    /// and goes on looking for so long, whatever comes of it
-    std::chrono::milliseconds m_claim_watch{3000};
-    /// a gateway that has just started waits so long for an aggregator to tell it everything before it
-    /// reads the store by itself. When the whole system starts, the slots must be taken first
-    std::chrono::milliseconds m_read_after{400};
-    std::chrono::milliseconds m_first_read_after{2500};
+    /// a slot is claimed only after watching the slot records for this time, to see concurrent claims
+    std::chrono::milliseconds m_pre_claim_watch{300};
+    /// total time for which the slot records are watched, from the start of that watch
+    std::chrono::milliseconds m_claim_watch_period{3000};
+    /// time after the start in which a gateway waits for an aggregator to push all mirrors, before it reads
+    /// them from the store; longer at the first start of the system, when the slots are still vacant
+    std::chrono::milliseconds m_read_delay{400};
+    std::chrono::milliseconds m_first_start_read_delay{2500};
 };
 
-/// @brief counters since the start, for the metrics address
+/// @brief counters since the process start, exported as metrics
 struct exchange_stats
 {
     std::uint64_t m_reports_sent = 0;
-    std::uint64_t m_reports_taken = 0;
+    std::uint64_t m_reports_received = 0;
     std::uint64_t m_digests_sent = 0;
-    std::uint64_t m_digests_taken = 0;
+    std::uint64_t m_digests_received = 0;
     std::uint64_t m_summaries_sent = 0;
-    std::uint64_t m_news_pushed = 0;
-    std::uint64_t m_news_asked = 0;
+    std::uint64_t m_changes_pushed = 0;
+    std::uint64_t m_changes_queried = 0;
     std::uint64_t m_datagrams_unreadable = 0;
 };
 
-/// @brief on the loop's thread only
+/// @brief not thread-safe: for the event loop's thread only
 class zone_exchange
 {
   public:
-    /// All references must outlive the exchange.
+    /// All references must outlive the object.
     zone_exchange(async_http::asio::io_context& context, const RoleSettings& settings,
-                  store::MetadataStore& store, wire::Transport& transport, const followed_mirrors& mirrors,
+                  store::MetadataStore& store, wire::Transport& transport, const mirror_references& mirrors,
                   forwarding::GatewayState& state, event_log::EventLog& log,
                   const exchange_options& options = {});
 
-    /// @brief begins; the internal port is known by now
+    /// @brief starts the exchange, once the internal port is bound
     void start(std::uint16_t internal_port);
 
-    /// @brief the slots' records changed
+    /// @brief handles a change of the slot records
     void on_slots_change();
 
-    /// @brief the storage machines, as the ledger's directory names them
-    void set_storage(std::vector<turn_ledger::Machine> machines);
+    /// @brief sets the storage machines listed in the ledger directory
+    void set_storage_machines(std::vector<turn_ledger::Machine> machines);
 
-    /// @brief a datagram came
     void on_datagram(const std::string& payload);
 
-    /// @brief a peer told changes of the store
-    void on_news(const store::news_reply& reply);
+    /// @brief applies store changes sent by a peer
+    void on_changes(const store::news_reply& reply);
 
-    /// @brief a runner is about to read a part of a prompt
-    void note_placement(const forwarding::PromptPart& part, std::uint32_t runner);
+    /// @brief records that a runner is about to process a part of a prompt
+    void record_placement(const forwarding::PromptPart& part, std::uint32_t runner);
 
-    /// @brief a mirror had lost the store, and it answers again
-    void on_store_back()
+    /// @brief the store is reachable again after an outage
+    void on_store_recovered()
     {
-        m_lease.on_store_back();
+        m_lease_renewer.on_store_recovered();
     }
 
-    /// @brief the store answered the configuration's mirror, or did not
-    void on_contact(bool reachable);
+    /// @param[in] reachable  whether the last call of the configuration mirror got a reply
+    void on_store_reachability(bool reachable);
 
-    /// @brief a configuration is in force: asks whether it is the newest, if that is due
+    /// @brief renews the lease of the current configuration if that is due
     void confirm_configuration();
 
-    /// @brief does what is due; each tenth of a second
-    /// @param[in] ledger_silent  most groups of the ledger don't answer
-    void tick(bool ledger_silent);
+    /// @brief runs all periodic work; called every 100 ms
+    /// @param[in] ledger_unreachable  whether most ledger groups do not reply
+    void tick(bool ledger_unreachable);
 
-    /// @return whether the configuration is known to be the newest: the store answers, or an aggregator
-    ///         says that it does
+    /// @return whether the configuration is known to be current: the store is reachable, or an aggregator
+    ///         reports that it is
     bool store_reachable() const;
 
-    /// @return other gateways that are known of, and those among them without the ledger
-    std::size_t peers() const;
+    /// @return the number of other known gateways, and of those that do not reach the ledger
+    std::size_t peer_count() const;
     std::size_t peers_without_ledger() const;
 
-    /// @return up to `most` gateways that reach the ledger
-    std::vector<wire::Endpoint> peers_with_ledger(std::size_t most) const;
+    /// @return up to `max_count` gateways that reach the ledger
+    std::vector<wire::Endpoint> peers_with_ledger(std::size_t max_count) const;
 
-    bool aggregates() const
+    bool is_aggregator() const
     {
-        return m_sums != nullptr;
+        return m_aggregator != nullptr;
     }
-    const lease_stats& leases() const
+    const lease_stats& lease_counters() const
     {
-        return m_lease.stats();
+        return m_lease_renewer.stats();
     }
     const exchange_stats& stats() const
     {
         return m_stats;
     }
-    /// @return gateways that report to this one, if it is an aggregator
-    std::size_t members() const
+    /// @return the number of gateways that report to this one, if it is an aggregator
+    std::size_t member_count() const
     {
-        return m_sums ? m_sums->members().size() : 0;
+        return m_aggregator ? m_aggregator->members().size() : 0;
     }
 
   private:
     using instant = aggregation::instant;
 
-    void take(instant now, const aggregation::member_report& report);
-    void take(instant now, const aggregation::zone_summary& summary);
-    void take(instant now, const aggregation::digest& told);
-    void take(instant now, const store::news_request& request);
-    void take(instant now, const aggregation::confirmation_question& question);
-    void take(instant now, const aggregation::confirmation_answer& answer);
-    lease_peers peers_for_lease(instant now) const;
-
-    aggregation::known_changes changes() const;
-    /// @return whether the store answers this gateway itself
-    bool in_contact() const;
-    void complete(instant now, aggregation::digest& told) const;
+    void handle(instant now, const aggregation::member_report& report);
+    void handle(instant now, const aggregation::zone_summary& summary);
+    void handle(instant now, const aggregation::digest& received);
+    void handle(instant now, const store::news_request& request);
+    void handle(instant now, const aggregation::confirmation_question& request);
+    void handle(instant now, const aggregation::confirmation_answer& reply);
+    lease_peers lease_renewal_peers(instant now) const;
+
+    aggregation::mirror_revisions revisions() const;
+    /// @return whether this gateway watches the store and the last call succeeded
+    bool reaches_store() const;
+    void set_sender_state(instant now, aggregation::digest& outgoing) const;
     aggregation::contact self() const;
     turn_ledger::Machine machine() const;
-    void judge_watching(instant now);
-    /// which mirrors may ask the store
-    void judge_reading(instant now);
-    /// writes a line when it changed which mirrors may ask
-    void note_reading(bool reads, bool store_is_away);
+    void update_watching(instant now);
+    /// sets which mirrors may read from the store
+    void update_reading(instant now);
+    /// logs a change of the mirrors that may read from the store
+    void log_reading_change(bool reads, bool store_unreachable);
     bool waits_for_push(instant now) const;
     void claim_slot(instant now);
     async_http::Task<void> write_claim(aggregation::slot_claim claim);
-    bool hears(instant now, const aggregation::contact& aggregator) const;
-    /// @return whether this aggregator watches the store and exchanges sums for its zone
-    bool speaks_for_zone(instant now) const;
-    void become(std::optional<std::size_t> slot);
+    bool is_alive(instant now, const aggregation::contact& aggregator) const;
+    /// @return whether this gateway is the representative of its zone
+    bool represents_zone(instant now) const;
+    void set_slot(std::optional<std::size_t> slot);
 
     void report(instant now);
     bool report_is_due(instant now, const aggregation::member_report& fresh,
@@ -198,13 +197,13 @@
     void send_short_digest(instant now, const std::vector<wire::Endpoint>& receivers);
     void send_summary(instant now);
     void relay_summary(instant now);
-    void push_news(instant now);
-    void ask_for_news(instant now);
-    bool reads_everything(instant now) const;
+    void push_changes(instant now);
+    void query_changes(instant now);
+    bool reads_all_mirrors(instant now) const;
     void apply(instant now, const std::vector<aggregation::runner_load>& others,
                const std::vector<aggregation::placement>& placements);
-    void forget_old_loads(instant now);
-    /// takes all other gateways' requests off the runner table
+    void expire_peer_loads(instant now);
+    /// resets the loads of other gateways in the runner table
     void clear_peer_loads();
     void send(const wire::Endpoint& to, const std::string& payload);
     void send_all(const std::vector<wire::Endpoint>& receivers, const std::string& payload,
@@ -217,36 +216,36 @@
     forwarding::GatewayState& m_state;
     event_log::EventLog& m_log;
     exchange_options m_options;
-    followed_copies m_mirrors;
-    news_sender m_sender;
+    mirror_list m_mirrors;
+    change_sender m_change_sender;
     member_registry m_registry;
-    storage_link m_storage;
+    storage_link m_storage_link;
 
     aggregation::slot_table m_slots;
-    std::optional<aggregation::slot_claims> m_claims;
+    std::optional<aggregation::slot_claim_policy> m_claim_policy;
     std::optional<aggregation::member_view> m_view;
-    aggregation::news_decisions m_news;
-    lease_keeper m_lease;
-    std::unique_ptr<aggregation::aggregator> m_sums;
+    aggregation::change_propagation m_propagation;
+    lease_renewer m_lease_renewer;
+    std::unique_ptr<aggregation::aggregator> m_aggregator;
     std::optional<std::size_t> m_slot;
     bool m_claiming = false;
-    std::optional<instant> m_looked;
+    std::optional<instant> m_claim_watch_began;
     bool m_watching = false;
-    instant m_began;
-    bool m_ledger_silent = false;
-    bool m_reads = true;
-    bool m_store_is_away = false;
-    /// whether the store answered the last question for the configuration; nothing before the first
-    std::optional<bool> m_store_answers;
-
-    aggregation::member_report m_reported;
-    std::vector<aggregation::report_target> m_reported_to;
-    instant m_reported_at;
+    instant m_started_at;
+    bool m_ledger_unreachable = false;
+    bool m_reading = true;
+    bool m_store_unreachable = false;
+    /// whether the last call of the configuration mirror got a reply; empty before the first call
+    std::optional<bool> m_store_answered;
+
+    aggregation::member_report m_last_report;
+    std::vector<aggregation::report_target> m_last_report_targets;
+    instant m_last_report_at;
     std::vector<aggregation::placement> m_placements;
-    instant m_summary_sent;
+    instant m_summary_sent_at;
     instant m_introduced_at;
-    aggregation::watch_decision m_watch;
-    std::optional<instant> m_digest_taken;
+    aggregation::watch_policy m_watch_policy;
+    std::optional<instant> m_digest_received_at;
     exchange_stats m_stats;
 };
 
--- a/src/roles/ledger/persisted_mirrors.cc
+++ b/src/roles/ledger/persisted_mirrors.cc
@@ -155,7 +155,7 @@
         std::uint64_t known = m_mirrors[mirror]->last_change();
         std::optional<instant>& requested_at = m_states[mirror].m_requested_at;
         bool recently_requested = requested_at && now - *requested_at < m_options.m_request_retry_interval;
-        if (received.m_changes[mirror] <= known || recently_requested)
+        if (received.m_revisions[mirror] <= known || recently_requested)
         {
             continue;
         }
