--- a/bench/cluster_model.cc
+++ b/bench/cluster_model.cc
@@ -103,8 +103,8 @@
         policy_random_(options.seed + 1) {
     dispatch::DispatcherOptions dispatcher;
     dispatcher.order = policy.order;
-    dispatcher.order_model.aging_tokens_per_second = policy.aging_tokens_per_second;
-    dispatcher.order_model.seconds_per_class = 1e12;
+    dispatcher.order_options.aging_tokens_per_second = policy.aging_tokens_per_second;
+    dispatcher.order_options.seconds_per_priority = 1e12;
     dispatcher.ask_lease = absl::Hours(1000);
     dispatcher.max_queued = 1000000;
     for (int number = 0; number < options.engines; ++number) {
@@ -204,7 +204,7 @@
     program.prompt_tokens = program.context_tokens + turn.new_tokens;
     std::vector<scheduling::EngineView> views = views_;
     if (program.last_engine >= 0) {
-      views[static_cast<std::size_t>(program.last_engine)].held_tokens =
+      views[static_cast<std::size_t>(program.last_engine)].cached_tokens =
           static_cast<std::int64_t>(program.context_tokens);
     }
     scheduling::CallView call;
--- a/src/daemon/backend_view.cc
+++ b/src/daemon/backend_view.cc
@@ -87,9 +87,9 @@
     candidate.backend = backend;
     candidate.view.name = name;
     candidate.view.slots = backend.slots;
-    candidate.view.own = backend.owner == partner;
+    candidate.view.owned_by_caller = backend.owner == partner;
     candidate.view.same_zone = backend.zone == own_zone_;
-    if (!candidate.view.own) {
+    if (!candidate.view.owned_by_caller) {
       const bundle::LendSpec* lending = LendingOf(bundles, backend.owner);
       if (lending == nullptr || !lending->idle_engines) {
         continue;
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -148,7 +148,7 @@
   }
   while (engine.in_flight < OpenSlots(engine)) {
     std::vector<Ask*> candidates;
-    std::vector<scheduling::WaitingView> views;
+    std::vector<scheduling::QueuedCall> views;
     for (auto& [grant, ask] : engine.asks) {
       if (ask.granted || !MayStart(engine, ask)) {
         continue;
@@ -157,7 +157,7 @@
       views.push_back({ask.ask.priority, ask.ask.attained,
                        absl::ToDoubleSeconds(now_ - ask.arrived), IsOwn(engine, ask)});
     }
-    auto next = scheduling::ChooseNext(options_.order, views, options_.order_model);
+    auto next = scheduling::ChooseNext(options_.order, views, options_.order_options);
     if (!next) {
       return;
     }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -26,7 +26,7 @@
 
 struct DispatcherOptions {
   scheduling::OrderPolicy order = scheduling::OrderPolicy::kAttainedService;
-  scheduling::OrderModel order_model;
+  scheduling::OrderOptions order_options;
   absl::Duration ask_lease = absl::Seconds(2);  ///< A wish not repeated for this long is gone.
   std::size_t max_queued = 1000;                ///< Per engine.
   /// A fresh engine's slots open over this time, so that its empty queue draws no crowd.
--- a/src/gateway/call_coordinator.cc
+++ b/src/gateway/call_coordinator.cc
@@ -250,7 +250,7 @@
       continue;
     }
     if (candidate.backend.name == call.last_engine) {
-      candidate.view.held_tokens = call.context_tokens - call.spec.turn_tokens;
+      candidate.view.cached_tokens = call.context_tokens - call.spec.turn_tokens;
     }
     usable.push_back(std::move(candidate));
   }
--- a/src/scheduling/order.cc
+++ b/src/scheduling/order.cc
@@ -7,19 +7,19 @@
 namespace martenyard::scheduling {
 namespace {
 
-/// Smaller goes first.
+/// Sort key of a waiting call; the smallest is started first.
 using Rank = std::tuple<int, int, double, double>;
 
-Rank RankOf(OrderPolicy policy, const WaitingView& call, const OrderModel& model) {
-  int owner_rank = call.own ? 0 : 1;
-  int lift = static_cast<int>(call.waited_seconds / model.seconds_per_class);
-  int class_rank = -std::min(9, call.priority + lift);
-  double service = 0.0;
+Rank RankOf(OrderPolicy policy, const QueuedCall& call, const OrderOptions& options) {
+  int ownership_rank = call.from_owner ? 0 : 1;
+  int aging_boost = static_cast<int>(call.waited_seconds / options.seconds_per_priority);
+  int priority_rank = -std::min(9, call.priority + aging_boost);
+  double aged_service = 0.0;
   if (policy == OrderPolicy::kAttainedService) {
-    service = static_cast<double>(call.attained_tokens) -
-              call.waited_seconds * model.aging_tokens_per_second;
+    aged_service = static_cast<double>(call.attained_tokens) -
+                   call.waited_seconds * options.aging_tokens_per_second;
   }
-  return {owner_rank, class_rank, service, -call.waited_seconds};
+  return {ownership_rank, priority_rank, aged_service, -call.waited_seconds};
 }
 
 }  // namespace
@@ -34,12 +34,12 @@
   return std::nullopt;
 }
 
-std::optional<std::size_t> ChooseNext(OrderPolicy policy, const std::vector<WaitingView>& waiting,
-                                      const OrderModel& model) {
+std::optional<std::size_t> ChooseNext(OrderPolicy policy, const std::vector<QueuedCall>& waiting,
+                                      const OrderOptions& options) {
   std::optional<std::size_t> best;
   Rank best_rank;
   for (std::size_t i = 0; i < waiting.size(); ++i) {
-    Rank rank = RankOf(policy, waiting[i], model);
+    Rank rank = RankOf(policy, waiting[i], options);
     if (!best || rank < best_rank) {
       best = i;
       best_rank = rank;
--- a/src/scheduling/order.h
+++ b/src/scheduling/order.h
@@ -1,4 +1,4 @@
-// Which of an engine's waiting calls goes next: pure policies.
+// Queueing policies: which of an engine's waiting calls is started next. Pure functions.
 #pragma once
 
 #include <cstddef>
@@ -10,31 +10,29 @@
 namespace martenyard::scheduling {
 
 enum class OrderPolicy {
-  kArrival,
-  kAttainedService,  ///< Least service attained by the whole program first, with aging.
+  kArrival,          ///< First come, first served within a priority.
+  kAttainedService,  ///< Least attained service first, with aging.
 };
 
 std::optional<OrderPolicy> ParseOrderPolicy(const std::string& name);
 
-/// One waiting call.
-struct WaitingView {
-  int priority = 5;  ///< Of the program, 0 to 9; a higher class goes first.
-  std::int64_t attained_tokens = 0;
+/// A call that waits for a slot of an engine.
+struct QueuedCall {
+  int priority = 5;                  ///< Of the program, 0 to 9; the highest goes first.
+  std::int64_t attained_tokens = 0;  ///< Service attained by the whole program.
   double waited_seconds = 0.0;
-  bool own = true;  ///< The engine's owner's call; borrowers go behind.
+  bool from_owner = true;  ///< Calls of the engine's owner go before those of borrowers.
 };
 
-/// Tunables of the order.
-struct OrderModel {
-  /// Tokens of attained service that a second of waiting makes up for: the guard against starving
-  /// long programs.
+struct OrderOptions {
+  /// Attained tokens that one second of waiting offsets, so that long programs don't starve.
   double aging_tokens_per_second = 400.0;
-  /// Seconds of waiting that lift a call by one priority class.
-  double seconds_per_class = 20.0;
+  /// Seconds of waiting that raise a call by one priority.
+  double seconds_per_priority = 20.0;
 };
 
-/// @return the index of the call to run next, or nothing when none waits.
-std::optional<std::size_t> ChooseNext(OrderPolicy policy, const std::vector<WaitingView>& waiting,
-                                      const OrderModel& model);
+/// @return the index of the call to start next, or nothing if none waits.
+std::optional<std::size_t> ChooseNext(OrderPolicy policy, const std::vector<QueuedCall>& waiting,
+                                      const OrderOptions& options);
 
 }  // namespace martenyard::scheduling
--- a/src/scheduling/placement.cc
+++ b/src/scheduling/placement.cc
@@ -10,21 +10,21 @@
   return static_cast<double>(engine.in_flight + engine.queued) / std::max(1, engine.slots);
 }
 
-/// Ties are broken at random, so that gateways with the same stale view do not herd.
+/// Breaks ties at random, so that gateways with the same stale view don't all pick one engine.
 std::optional<std::size_t> Cheapest(const std::vector<EngineView>& engines, Random& random,
                                     const std::function<double(const EngineView&)>& cost) {
   std::optional<std::size_t> best;
   double best_cost = 0.0;
-  std::uint64_t equal = 0;
+  std::uint64_t tied = 0;
   for (std::size_t i = 0; i < engines.size(); ++i) {
     double candidate = cost(engines[i]);
     if (!best || candidate < best_cost) {
       best = i;
       best_cost = candidate;
-      equal = 1;
+      tied = 1;
     } else if (candidate == best_cost) {
-      ++equal;
-      if (random.Below(equal) == 0) {
+      ++tied;
+      if (random.Below(tied) == 0) {
         best = i;
       }
     }
@@ -33,8 +33,8 @@
 }
 
 double LeastLoadedCost(const EngineView& engine) {
-  constexpr double kForeignEngine = 1000.0;
-  return Load(engine) + (engine.own ? 0.0 : kForeignEngine);
+  constexpr double kBorrowedEnginePenalty = 1000.0;
+  return Load(engine) + (engine.owned_by_caller ? 0.0 : kBorrowedEnginePenalty);
 }
 
 }  // namespace
@@ -56,13 +56,15 @@
 }
 
 double ExpectedCost(const EngineView& engine, const CallView& call, const CostModel& model) {
-  double ahead = engine.in_flight + engine.queued - engine.slots + 1;
-  double wait = std::max(0.0, ahead) * model.mean_service_seconds / std::max(1, engine.slots);
-  std::int64_t missing = std::max<std::int64_t>(0, call.context_tokens - engine.held_tokens);
-  double rebuild = static_cast<double>(missing) / model.prefill_tokens_per_second;
-  double zone = engine.same_zone ? 0.0 : model.other_zone_seconds;
-  double borrowed = engine.own ? 0.0 : model.borrowed_seconds;
-  return wait + rebuild + zone + borrowed;
+  double calls_ahead = engine.in_flight + engine.queued - engine.slots + 1;
+  double queueing_seconds =
+      std::max(0.0, calls_ahead) * model.mean_service_seconds / std::max(1, engine.slots);
+  std::int64_t uncached_tokens =
+      std::max<std::int64_t>(0, call.context_tokens - engine.cached_tokens);
+  double prefill_seconds = static_cast<double>(uncached_tokens) / model.prefill_tokens_per_second;
+  double zone_seconds = engine.same_zone ? 0.0 : model.cross_zone_seconds;
+  double borrowing_seconds = engine.owned_by_caller ? 0.0 : model.borrowing_penalty_seconds;
+  return queueing_seconds + prefill_seconds + zone_seconds + borrowing_seconds;
 }
 
 std::optional<std::size_t> ChooseEngine(PlacementPolicy policy,
--- a/src/scheduling/placement.h
+++ b/src/scheduling/placement.h
@@ -1,4 +1,5 @@
-// Which engine a model call goes to: pure policies over a view of the engines.
+// Placement policies: which engine a model call is sent to. Pure functions over a snapshot of the
+// engines.
 #pragma once
 
 #include <cstddef>
@@ -15,42 +16,43 @@
 enum class PlacementPolicy {
   kRoundRobin,
   kLeastLoaded,
-  kSticky,       ///< Where the program's context is, else the least loaded.
-  kWaitRebuild,  ///< Least expected wait + rebuild of the context + zone distance.
+  kSticky,       ///< The engine that ran the program last, else the least loaded.
+  kWaitRebuild,  ///< The least `ExpectedCost`.
 };
 
 std::optional<PlacementPolicy> ParsePlacementPolicy(const std::string& name);
 
-/// What a gateway knows of one engine that could take the call.
+/// A gateway's view of an engine that can run the call.
 struct EngineView {
   BackendName name;
   int slots = 1;
   int in_flight = 0;
   int queued = 0;
   bool same_zone = true;
-  bool own = true;               ///< Owned by the caller's partner; others only lend.
-  std::int64_t held_tokens = 0;  ///< Of this program's context, believed held there.
+  bool owned_by_caller = true;     ///< Else another partner lends it.
+  std::int64_t cached_tokens = 0;  ///< Of this program's context, expected in the engine's cache.
 };
 
 /// The call to place.
 struct CallView {
-  std::int64_t context_tokens = 0;  ///< History and new turn together.
-  BackendName last_engine;          ///< Where the program ran before; may be empty.
+  std::int64_t context_tokens = 0;  ///< The program's history and the new turn.
+  BackendName last_engine;          ///< The engine that ran the program last; may be empty.
 };
 
-/// What waiting and rebuilding cost; learned or set.
+/// Parameters of `ExpectedCost`.
 struct CostModel {
   double prefill_tokens_per_second = 8000.0;
-  double mean_service_seconds = 2.0;  ///< Of one call in a slot.
-  double other_zone_seconds = 0.02;
-  double borrowed_seconds = 0.5;  ///< Keeps a call at home unless borrowing clearly pays.
+  double mean_service_seconds = 2.0;  ///< Of one call.
+  double cross_zone_seconds = 0.02;
+  double borrowing_penalty_seconds = 0.5;  ///< Makes borrowing pay only for a clearly shorter wait.
 };
 
-/// @return seconds until the call's first token on this engine, as far as can be told.
+/// @return the estimated seconds until the call's first token on this engine (queueing and prefill
+/// of the uncached context), plus the penalties for other zones and borrowed engines.
 double ExpectedCost(const EngineView& engine, const CallView& call, const CostModel& model);
 
-/// @param round_robin a counter that the caller keeps; advanced by kRoundRobin.
-/// @return the index of the chosen engine, or nothing when there is none.
+/// @param round_robin the caller's counter; advanced by kRoundRobin.
+/// @return the index of the chosen engine, or nothing if there are no engines.
 std::optional<std::size_t> ChooseEngine(PlacementPolicy policy,
                                         const std::vector<EngineView>& engines,
                                         const CallView& call, const CostModel& model,
