--- a/bench/cluster_model.cc
+++ b/bench/cluster_model.cc
@@ -105,7 +105,7 @@
     dispatcher.order = policy.order;
     dispatcher.order_options.aging_tokens_per_second = policy.aging_tokens_per_second;
     dispatcher.order_options.seconds_per_priority = 1e12;
-    dispatcher.ask_lease = absl::Hours(1000);
+    dispatcher.request_ttl = absl::Hours(1000);
     dispatcher.max_queued = 1000000;
     for (int number = 0; number < options.engines; ++number) {
       Engine engine;
@@ -215,7 +215,7 @@
     ++result_.decisions;
     int engine = static_cast<int>(*chosen);
     ++views_[*chosen].queued;  // A gateway counts what it sent itself.
-    dispatch::PermitAsk ask;
+    dispatch::PermitRequest ask;
     ask.grant = {ProgramId(std::to_string(id)), CallKey("t"), 1};
     ask.engine = NameOf(engine);
     ask.partner = kOwner;
@@ -238,8 +238,8 @@
 
   void StartGranted(int number) {
     Engine& engine = engines_[static_cast<std::size_t>(number)];
-    for (const dispatch::NewsTo& news : engine.dispatcher->TakeNews()) {
-      for (const dispatch::PermitAnswer& answer : news.news.answers) {
+    for (const dispatch::OutgoingPermitUpdate& news : engine.dispatcher->TakeUpdates()) {
+      for (const dispatch::PermitReply& answer : news.update.replies) {
         if (answer.verdict == dispatch::PermitVerdict::kGranted) {
           RunTurn(number, std::stoi(answer.grant.program.value));
         }
--- a/src/daemon/backend_view.cc
+++ b/src/daemon/backend_view.cc
@@ -147,7 +147,7 @@
     config.name = name;
     config.owner = backend.owner;
     config.slots = backend.slots;
-    config.leaving = backend.leaving;
+    config.draining = backend.leaving;
     if (const bundle::LendSpec* lending = LendingOf(bundles, backend.owner)) {
       config.lends = lending->idle_engines;
       config.lend_share = lending->max_share;
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -129,8 +129,8 @@
     for (gateway::LedgerRequestTo& request : router_.TakeRequests()) {
       Send(request.to, std::move(request.request));
     }
-    for (dispatch::NewsTo& news : dispatcher_.TakeNews()) {
-      Send(news.to, std::move(news.news));
+    for (dispatch::OutgoingPermitUpdate& news : dispatcher_.TakeUpdates()) {
+      Send(news.to, std::move(news.update));
     }
     BOOST_LEAF_AUTO(effects, replica_host_.Pump([this](GroupMessageTo message) {
       Send(message.to, std::move(message.message));
@@ -172,9 +172,9 @@
     dispatcher_.OnSync(now_, from, *sync);
   } else if (const auto* release = std::get_if<dispatch::PermitRelease>(&message)) {
     dispatcher_.OnRelease(now_, from, *release);
-  } else if (const auto* news = std::get_if<dispatch::PermitNews>(&message)) {
+  } else if (const auto* news = std::get_if<dispatch::PermitUpdate>(&message)) {
     backends_.OnLoads(now_, news->loads);
-    coordinator_.OnPermitNews(*news);
+    coordinator_.OnPermitUpdate(*news);
   } else if (const auto* spread = std::get_if<spread::SpreadMessage>(&message)) {
     spread_.OnMessage(from, *spread, Peers());
   } else if (const auto* list = std::get_if<membership::MemberList>(&message)) {
@@ -425,7 +425,7 @@
 }
 
 void Node::ReportLoads() {
-  dispatch::PermitNews news;
+  dispatch::PermitUpdate news;
   news.loads = dispatcher_.Loads();
   if (news.loads.empty()) {
     return;
@@ -502,13 +502,13 @@
 
 // ---- Engines ----
 
-void Node::SendPermitAsks(const std::vector<dispatch::PermitAsk>& asks) {
+void Node::SendPermitRequests(const std::vector<dispatch::PermitRequest>& asks) {
   std::map<NodeId, dispatch::PermitSync> by_dispatcher;
-  for (const dispatch::PermitAsk& ask : asks) {
+  for (const dispatch::PermitRequest& ask : asks) {
     const clients::Backend* engine = backends_.Find(ask.engine);
     auto dispatcher = engine == nullptr ? std::nullopt : DispatcherOf(*engine, live_);
     if (dispatcher) {
-      by_dispatcher[*dispatcher].asks.push_back(ask);
+      by_dispatcher[*dispatcher].requests.push_back(ask);
     }
   }
   for (auto& [dispatcher, sync] : by_dispatcher) {
@@ -517,7 +517,7 @@
 }
 
 void Node::SendPermitRelease(const dispatch::PermitRelease& release) {
-  if (release.engine_leaves) {
+  if (release.engine_draining) {
     backends_.MarkLeaving(Now(), release.engine);
   }
   const clients::Backend* engine = backends_.Find(release.engine);
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -10,68 +10,68 @@
 
 void Dispatcher::SetEngines(absl::Time now, const std::vector<EngineConfig>& engines) {
   now_ = std::max(now_, now);
-  std::map<BackendName, Engine> kept;
+  std::map<BackendName, Engine> configured;
   for (const EngineConfig& config : engines) {
     auto found = engines_.find(config.name);
     if (found == engines_.end()) {
       Engine engine;
-      engine.known_since = now_;
-      // When this daemon itself is new, so are all engines to it: that says nothing of them.
-      engine.fresh = now_ - started_ > options_.slow_start;
+      engine.added_at = now_;
+      // Shortly after this daemon's own start all engines are new to it, but not newly added.
+      engine.newly_added = now_ - started_ > options_.slow_start;
       found = engines_.emplace(config.name, std::move(engine)).first;
     }
     found->second.config = config;
-    kept[config.name] = std::move(found->second);
+    configured[config.name] = std::move(found->second);
   }
-  engines_ = std::move(kept);
+  engines_ = std::move(configured);
   for (auto& [name, engine] : engines_) {
-    Pump(engine);
+    ServeQueue(engine);
   }
 }
 
-bool Dispatcher::Leaves(const Engine& engine) const {
-  return engine.config.leaving || now_ < engine.leaving_until;
+bool Dispatcher::IsDraining(const Engine& engine) const {
+  return engine.config.draining || now_ < engine.draining_until;
 }
 
 void Dispatcher::OnSync(absl::Time now, NodeId gateway, const PermitSync& sync) {
   now_ = std::max(now_, now);
-  for (const PermitAsk& wish : sync.asks) {
-    TakeAsk(gateway, wish);
+  for (const PermitRequest& request : sync.requests) {
+    HandleRequest(gateway, request);
   }
 }
 
-void Dispatcher::TakeAsk(NodeId gateway, const PermitAsk& wish) {
-  auto found = engines_.find(wish.engine);
+void Dispatcher::HandleRequest(NodeId gateway, const PermitRequest& request) {
+  auto found = engines_.find(request.engine);
   if (found == engines_.end()) {
-    Tell(gateway, Ask{gateway, wish, now_, now_, false},
-         wish.holding ? PermitVerdict::kGranted : PermitVerdict::kRefused);
+    AddReply(gateway, QueueEntry{gateway, request, now_, now_, false},
+             request.holds_permit ? PermitVerdict::kGranted : PermitVerdict::kRefused);
     return;
   }
   Engine& engine = found->second;
-  auto known = engine.asks.find(wish.grant);
-  if (known != engine.asks.end()) {
-    Ask& ask = known->second;
-    ask.expires = now_ + options_.ask_lease;
-    if (wish.holding && !ask.granted) {
-      ask.granted = true;
-      Count(engine, ask, 1);
+  auto existing = engine.entries.find(request.grant);
+  if (existing != engine.entries.end()) {
+    QueueEntry& entry = existing->second;
+    entry.expires = now_ + options_.request_ttl;
+    if (request.holds_permit && !entry.granted) {
+      entry.granted = true;
+      CountInFlight(engine, entry, 1);
     }
-    Tell(gateway, ask, ask.granted ? PermitVerdict::kGranted : PermitVerdict::kQueued);
+    AddReply(gateway, entry, entry.granted ? PermitVerdict::kGranted : PermitVerdict::kQueued);
     return;
   }
-  Ask ask{gateway, wish, now_, now_ + options_.ask_lease, wish.holding};
-  if (wish.holding) {
-    // Granted by an earlier dispatcher: what runs is a fact.
-    Count(engine, ask, 1);
-  } else if (Leaves(engine)) {
-    Tell(gateway, ask, PermitVerdict::kRefused);
+  QueueEntry entry{gateway, request, now_, now_ + options_.request_ttl, request.holds_permit};
+  if (request.holds_permit) {
+    // Granted by an earlier dispatcher; the call is already running.
+    CountInFlight(engine, entry, 1);
+  } else if (IsDraining(engine)) {
+    AddReply(gateway, entry, PermitVerdict::kRefused);
     return;
-  } else if (engine.asks.size() >= options_.max_queued) {
-    Tell(gateway, ask, PermitVerdict::kFull);
+  } else if (engine.entries.size() >= options_.max_queued) {
+    AddReply(gateway, entry, PermitVerdict::kFull);
     return;
   }
-  engine.asks[wish.grant] = std::move(ask);
-  Pump(engine);
+  engine.entries[request.grant] = std::move(entry);
+  ServeQueue(engine);
 }
 
 void Dispatcher::OnRelease(absl::Time now, NodeId gateway, const PermitRelease& release) {
@@ -81,119 +81,119 @@
     return;
   }
   Engine& engine = found->second;
-  if (release.engine_leaves) {
-    engine.leaving_until = now_ + options_.leaving_memory;
+  if (release.engine_draining) {
+    engine.draining_until = now_ + options_.draining_hold;
   }
-  auto ask = engine.asks.find(release.grant);
-  if (ask == engine.asks.end() || ask->second.gateway != gateway) {
+  auto entry = engine.entries.find(release.grant);
+  if (entry == engine.entries.end() || entry->second.gateway != gateway) {
     return;
   }
-  if (ask->second.granted) {
-    Count(engine, ask->second, -1);
+  if (entry->second.granted) {
+    CountInFlight(engine, entry->second, -1);
   }
-  engine.asks.erase(ask);
-  Pump(engine);
+  engine.entries.erase(entry);
+  ServeQueue(engine);
 }
 
 void Dispatcher::Tick(absl::Time now) {
   now_ = std::max(now_, now);
   for (auto& [name, engine] : engines_) {
-    for (auto ask = engine.asks.begin(); ask != engine.asks.end();) {
-      if (ask->second.expires > now_) {
-        ++ask;
+    for (auto entry = engine.entries.begin(); entry != engine.entries.end();) {
+      if (entry->second.expires > now_) {
+        ++entry;
         continue;
       }
-      if (ask->second.granted) {
-        Count(engine, ask->second, -1);
+      if (entry->second.granted) {
+        CountInFlight(engine, entry->second, -1);
       }
-      ask = engine.asks.erase(ask);
+      entry = engine.entries.erase(entry);
     }
-    Pump(engine);
+    ServeQueue(engine);
   }
 }
 
-bool Dispatcher::IsOwn(const Engine& engine, const Ask& ask) {
-  return ask.ask.partner == engine.config.owner;
+bool Dispatcher::IsFromOwner(const Engine& engine, const QueueEntry& entry) {
+  return entry.request.partner == engine.config.owner;
 }
 
-int Dispatcher::OpenSlots(const Engine& engine) const {
+int Dispatcher::UsableSlots(const Engine& engine) const {
   int slots = engine.config.slots;
-  absl::Duration age = now_ - engine.known_since;
-  if (!engine.fresh || age >= options_.slow_start) {
+  absl::Duration age = now_ - engine.added_at;
+  if (!engine.newly_added || age >= options_.slow_start) {
     return slots;
   }
   double share = absl::FDivDuration(age, options_.slow_start);
   return std::max(1, static_cast<int>(share * slots));
 }
 
-bool Dispatcher::MayStart(const Engine& engine, const Ask& ask) const {
-  if (IsOwn(engine, ask)) {
+bool Dispatcher::MayStart(const Engine& engine, const QueueEntry& entry) const {
+  if (IsFromOwner(engine, entry)) {
     return true;
   }
   int limit = static_cast<int>(engine.config.lend_share * engine.config.slots);
   return engine.config.lends && engine.borrowed < limit;
 }
 
-void Dispatcher::Pump(Engine& engine) {
-  if (Leaves(engine)) {
-    for (auto ask = engine.asks.begin(); ask != engine.asks.end();) {
-      if (ask->second.granted) {
-        ++ask;
+void Dispatcher::ServeQueue(Engine& engine) {
+  if (IsDraining(engine)) {
+    for (auto entry = engine.entries.begin(); entry != engine.entries.end();) {
+      if (entry->second.granted) {
+        ++entry;
         continue;
       }
-      Tell(ask->second.gateway, ask->second, PermitVerdict::kRefused);
-      ask = engine.asks.erase(ask);
+      AddReply(entry->second.gateway, entry->second, PermitVerdict::kRefused);
+      entry = engine.entries.erase(entry);
     }
     return;
   }
-  while (engine.in_flight < OpenSlots(engine)) {
-    std::vector<Ask*> candidates;
+  while (engine.in_flight < UsableSlots(engine)) {
+    std::vector<QueueEntry*> candidates;
     std::vector<scheduling::QueuedCall> views;
-    for (auto& [grant, ask] : engine.asks) {
-      if (ask.granted || !MayStart(engine, ask)) {
+    for (auto& [grant, entry] : engine.entries) {
+      if (entry.granted || !MayStart(engine, entry)) {
         continue;
       }
-      candidates.push_back(&ask);
-      views.push_back({ask.ask.priority, ask.ask.attained,
-                       absl::ToDoubleSeconds(now_ - ask.arrived), IsOwn(engine, ask)});
+      candidates.push_back(&entry);
+      views.push_back({entry.request.priority, entry.request.attained,
+                       absl::ToDoubleSeconds(now_ - entry.arrived), IsFromOwner(engine, entry)});
     }
     auto next = scheduling::ChooseNext(options_.order, views, options_.order_options);
     if (!next) {
       return;
     }
-    Ask& chosen = *candidates[*next];
+    QueueEntry& chosen = *candidates[*next];
     chosen.granted = true;
-    Count(engine, chosen, 1);
-    Tell(chosen.gateway, chosen, PermitVerdict::kGranted);
+    CountInFlight(engine, chosen, 1);
+    AddReply(chosen.gateway, chosen, PermitVerdict::kGranted);
   }
 }
 
-void Dispatcher::Count(Engine& engine, const Ask& ask, int change) {
+void Dispatcher::CountInFlight(Engine& engine, const QueueEntry& entry, int change) {
   engine.in_flight += change;
-  if (!IsOwn(engine, ask)) {
+  if (!IsFromOwner(engine, entry)) {
     engine.borrowed += change;
   }
 }
 
-void Dispatcher::Tell(NodeId gateway, const Ask& ask, PermitVerdict verdict) {
-  news_[gateway].answers.push_back({ask.ask.grant, ask.ask.engine, verdict});
+void Dispatcher::AddReply(NodeId gateway, const QueueEntry& entry, PermitVerdict verdict) {
+  updates_[gateway].replies.push_back({entry.request.grant, entry.request.engine, verdict});
 }
 
 std::vector<EngineLoad> Dispatcher::Loads() const {
   std::vector<EngineLoad> loads;
   for (const auto& [name, engine] : engines_) {
-    auto total = static_cast<std::int32_t>(engine.asks.size());
+    auto total = static_cast<std::int32_t>(engine.entries.size());
     loads.push_back({name, engine.in_flight, total - engine.in_flight});
   }
   return loads;
 }
 
-std::vector<NewsTo> Dispatcher::TakeNews() {
-  std::vector<NewsTo> taken;
-  for (auto& [gateway, news] : news_) {
-    taken.push_back({gateway, std::move(news)});
+std::vector<OutgoingPermitUpdate> Dispatcher::TakeUpdates() {
+  std::vector<OutgoingPermitUpdate> taken;
+  for (auto& [gateway, update] : updates_) {
+    taken.push_back({gateway, std::move(update)});
   }
-  news_.clear();
+  updates_.clear();
   return taken;
 }
 
--- a/src/dispatch/messages.h
+++ b/src/dispatch/messages.h
@@ -1,5 +1,5 @@
-// What gateways and the dispatcher of an engine tell each other. All of it may be lost or repeated:
-// gateways send their whole wish again and again.
+// Messages between gateways and the dispatchers of engines. Any of them may be lost or duplicated:
+// gateways resend all their requests periodically.
 #pragma once
 
 #include <cstdint>
@@ -10,49 +10,49 @@
 
 namespace martenyard::dispatch {
 
-/// A gateway's wish to use an engine for one attempt of one call.
-struct PermitAsk {
+/// A gateway's request to use an engine for one attempt of one call.
+struct PermitRequest {
   ledger::Grant grant;
   BackendName engine;
   PartnerName partner;
   int priority = 5;
-  ledger::Tokens attained = 0;  ///< Service that the program has had.
-  bool holding = false;         ///< The gateway already uses the engine under a permit.
+  ledger::Tokens attained = 0;  ///< Service that the program has attained.
+  bool holds_permit = false;    ///< The gateway already runs the attempt there under a permit.
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(grant, engine, partner, priority, attained, holding);
+    archive(grant, engine, partner, priority, attained, holds_permit);
   }
 };
 
-/// All wishes of one gateway towards one dispatcher, or a new one.
+/// All requests of one gateway to one dispatcher, or a new one.
 struct PermitSync {
-  std::vector<PermitAsk> asks;
+  std::vector<PermitRequest> requests;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(asks);
+    archive(requests);
   }
 };
 
-/// The gateway needs the engine no longer for this attempt.
+/// The gateway no longer needs the engine for this attempt.
 struct PermitRelease {
   ledger::Grant grant;
   BackendName engine;
-  bool engine_leaves = false;  ///< The engine refused because it takes no new work.
+  bool engine_draining = false;  ///< The engine refused the call because it is draining.
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(grant, engine, engine_leaves);
+    archive(grant, engine, engine_draining);
   }
 };
 
 enum class PermitVerdict : std::uint8_t {
   kGranted,
   kQueued,
-  kRefused,  ///< The engine leaves or is unknown here: choose another.
-  kFull,     ///< Too many wait for this engine.
+  kRefused,  ///< The engine is draining or unknown here: choose another.
+  kFull,     ///< The engine's queue is full.
 };
 
-struct PermitAnswer {
+struct PermitReply {
   ledger::Grant grant;
   BackendName engine;
   PermitVerdict verdict = PermitVerdict::kQueued;
@@ -62,7 +62,7 @@
   }
 };
 
-/// An engine's exact load, as its dispatcher knows it.
+/// An engine's load as counted by its dispatcher.
 struct EngineLoad {
   BackendName engine;
   std::int32_t in_flight = 0;
@@ -73,12 +73,12 @@
   }
 };
 
-struct PermitNews {
-  std::vector<PermitAnswer> answers;
+struct PermitUpdate {
+  std::vector<PermitReply> replies;
   std::vector<EngineLoad> loads;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(answers, loads);
+    archive(replies, loads);
   }
 };
 
--- a/src/gateway/call_coordinator.cc
+++ b/src/gateway/call_coordinator.cc
@@ -272,22 +272,22 @@
 
 void CallCoordinator::AskPermit(Call& call) {
   call.stage = Stage::kWaitingForPermit;
-  host_.SendPermitAsks({AskOf(call)});
+  host_.SendPermitRequests({AskOf(call)});
 }
 
-dispatch::PermitAsk CallCoordinator::AskOf(const Call& call) const {
-  dispatch::PermitAsk ask;
+dispatch::PermitRequest CallCoordinator::AskOf(const Call& call) const {
+  dispatch::PermitRequest ask;
   ask.grant = call.grant;
   ask.engine = call.backend.name;
   ask.partner = call.spec.partner;
   ask.priority = call.priority;
   ask.attained = call.attained;
-  ask.holding = call.holds_permit;
+  ask.holds_permit = call.holds_permit;
   return ask;
 }
 
-void CallCoordinator::OnPermitNews(const dispatch::PermitNews& news) {
-  for (const dispatch::PermitAnswer& answer : news.answers) {
+void CallCoordinator::OnPermitUpdate(const dispatch::PermitUpdate& news) {
+  for (const dispatch::PermitReply& answer : news.replies) {
     Call* call = FindGranted(answer.grant);
     bool at_engine = call != nullptr && call->backend.name == answer.engine;
     bool current = at_engine && call->stage == Stage::kWaitingForPermit;
@@ -296,7 +296,7 @@
       if (GrantIsFresh(*call)) {
         RunModel(*call);
       } else {
-        LeaveEngine(*call, /*engine_leaves=*/false);
+        LeaveEngine(*call, /*engine_draining=*/false);
         BeginWork(*call);
       }
     } else if (current && answer.verdict != dispatch::PermitVerdict::kQueued) {
@@ -393,9 +393,9 @@
   return usage;
 }
 
-void CallCoordinator::LeaveEngine(Call& call, bool engine_leaves) {
+void CallCoordinator::LeaveEngine(Call& call, bool engine_draining) {
   if (call.holds_permit || call.stage == Stage::kWaitingForPermit) {
-    host_.SendPermitRelease({call.grant, call.backend.name, engine_leaves});
+    host_.SendPermitRelease({call.grant, call.backend.name, engine_draining});
   }
   call.holds_permit = false;
 }
@@ -578,7 +578,7 @@
     host_.Backends().Cancel(call.handle);
     call.handle = 0;
   }
-  LeaveEngine(call, /*engine_leaves=*/false);
+  LeaveEngine(call, /*engine_draining=*/false);
 }
 
 // ---- Time ----
@@ -688,14 +688,14 @@
 }
 
 void CallCoordinator::RenewPermits() {
-  std::vector<dispatch::PermitAsk> asks;
+  std::vector<dispatch::PermitRequest> asks;
   for (const auto& [id, call] : calls_) {
     if (call.holds_permit || call.stage == Stage::kWaitingForPermit) {
       asks.push_back(AskOf(call));
     }
   }
   if (!asks.empty()) {
-    host_.SendPermitAsks(asks);
+    host_.SendPermitRequests(asks);
   }
 }
 
--- a/src/gateway/call_coordinator.h
+++ b/src/gateway/call_coordinator.h
@@ -54,7 +54,7 @@
 
   /// Starts the call, or joins `sink` to the same one if it is under way here.
   void Start(const CallSpec& spec, std::shared_ptr<CallSink> sink);
-  void OnPermitNews(const dispatch::PermitNews& news);
+  void OnPermitUpdate(const dispatch::PermitUpdate& news);
   void Tick();
   /// Refuses new calls from now on; those under way go on.
   void StopAdmitting() { admitting_ = false; }
@@ -122,7 +122,7 @@
   void RunModel(Call& call);
   void OnModelDone(CallId id, const clients::ModelOutcome& outcome);
   static clients::ModelUsage UsageOfAnswer(const Call& call, const clients::ModelUsage& reported);
-  void LeaveEngine(Call& call, bool engine_leaves);
+  void LeaveEngine(Call& call, bool engine_draining);
   void Redispatch(Call& call, const std::string& reason);
 
   void RunService(Call& call);
@@ -145,7 +145,7 @@
   /// What is known of a call that is given up.
   static ledger::CallState OutcomeWhenGivenUp(const Call& call);
   void CheckTimes(Call& call);
-  dispatch::PermitAsk AskOf(const Call& call) const;
+  dispatch::PermitRequest AskOf(const Call& call) const;
 
   CallHost& host_;
   CoordinatorOptions options_;
--- a/tests/gateway/call_coordinator_test.cc
+++ b/tests/gateway/call_coordinator_test.cc
@@ -78,7 +78,9 @@
       on_answer = std::move(callback);
     }
   }
-  void SendPermitAsks(const std::vector<dispatch::PermitAsk>& wishes) override { asks = wishes; }
+  void SendPermitRequests(const std::vector<dispatch::PermitRequest>& wishes) override {
+    asks = wishes;
+  }
   void SendPermitRelease(const dispatch::PermitRelease&) override {}
   std::vector<EngineCandidate> EnginesFor(const PartnerName&, const std::string&) override {
     return engines;
@@ -93,7 +95,7 @@
   absl::Time now = absl::UnixEpoch();
   std::vector<EngineCandidate> engines;
   FakeBackends backends;
-  std::vector<dispatch::PermitAsk> asks;
+  std::vector<dispatch::PermitRequest> asks;
   LedgerCallback on_answer;  // Of the newest operation.
   std::optional<ledger::FinishCall> finished;
 };
@@ -148,8 +150,8 @@
 
   void Permit(dispatch::PermitVerdict verdict) {
     ASSERT_EQ(host_.asks.size(), 1U);
-    dispatch::PermitAsk ask = host_.asks[0];
-    coordinator_->OnPermitNews({{{ask.grant, ask.engine, verdict}}, {}});
+    dispatch::PermitRequest ask = host_.asks[0];
+    coordinator_->OnPermitUpdate({{{ask.grant, ask.engine, verdict}}, {}});
   }
 
   /// Begins an attempt that is placed at an engine.
