--- a/bench/cluster_model.cc
+++ b/bench/cluster_model.cc
@@ -215,7 +215,7 @@
     ++result_.decisions;
     int engine = static_cast<int>(*chosen);
     ++views_[*chosen].queued;  // A gateway counts what it sent itself.
-    dispatch::PermitRequest ask;
+    dispatch::PermitAsk ask;
     ask.grant = {ProgramId(std::to_string(id)), CallKey("t"), 1};
     ask.engine = NameOf(engine);
     ask.partner = kOwner;
--- a/src/daemon/messages.h
+++ b/src/daemon/messages.h
@@ -25,7 +25,7 @@
 
 using PeerMessage =
     std::variant<GroupMessage, ledger::LedgerRequest, ledger::LedgerReply, dispatch::PermitSync,
-                 dispatch::PermitRelease, dispatch::PermitUpdate, spread::SpreadMessage,
+                 dispatch::PermitRelease, dispatch::PermitNews, spread::SpreadMessage,
                  membership::MemberList>;
 
 struct Envelope {
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -172,7 +172,7 @@
     dispatcher_.OnSync(now_, from, *sync);
   } else if (const auto* release = std::get_if<dispatch::PermitRelease>(&message)) {
     dispatcher_.OnRelease(now_, from, *release);
-  } else if (const auto* news = std::get_if<dispatch::PermitUpdate>(&message)) {
+  } else if (const auto* news = std::get_if<dispatch::PermitNews>(&message)) {
     backends_.OnLoads(now_, news->loads);
     coordinator_.OnPermitUpdate(*news);
   } else if (const auto* spread = std::get_if<spread::SpreadMessage>(&message)) {
@@ -206,7 +206,7 @@
 }
 
 void Node::FlushSpread() {
-  for (spread::SpreadTo& message : spread_.TakeMessages()) {
+  for (spread::OutgoingSpreadMessage& message : spread_.TakeMessages()) {
     Send(message.to, std::move(message.message));
   }
   std::vector<spread::Item> changes = spread_.TakeChanges();
@@ -425,7 +425,7 @@
 }
 
 void Node::ReportLoads() {
-  dispatch::PermitUpdate news;
+  dispatch::PermitNews news;
   news.loads = dispatcher_.Loads();
   if (news.loads.empty()) {
     return;
@@ -502,9 +502,9 @@
 
 // ---- Engines ----
 
-void Node::SendPermitRequests(const std::vector<dispatch::PermitRequest>& asks) {
+void Node::SendPermitRequests(const std::vector<dispatch::PermitAsk>& asks) {
   std::map<NodeId, dispatch::PermitSync> by_dispatcher;
-  for (const dispatch::PermitRequest& ask : asks) {
+  for (const dispatch::PermitAsk& ask : asks) {
     const clients::Backend* engine = backends_.Find(ask.engine);
     auto dispatcher = engine == nullptr ? std::nullopt : DispatcherOf(*engine, live_);
     if (dispatcher) {
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -108,7 +108,7 @@
   GroupId GroupOf(const ProgramId& program) const override;
   void AskLedger(GroupId group, ledger::RequestBody body, absl::Time deadline,
                  gateway::LedgerCallback on_answer) override;
-  void SendPermitRequests(const std::vector<dispatch::PermitRequest>& asks) override;
+  void SendPermitRequests(const std::vector<dispatch::PermitAsk>& asks) override;
   void SendPermitRelease(const dispatch::PermitRelease& release) override;
   std::vector<gateway::EngineCandidate> EnginesFor(const PartnerName& partner,
                                                    const std::string& service) override;
--- a/src/dispatch/dispatcher.cc
+++ b/src/dispatch/dispatcher.cc
@@ -35,12 +35,12 @@
 
 void Dispatcher::OnSync(absl::Time now, NodeId gateway, const PermitSync& sync) {
   now_ = std::max(now_, now);
-  for (const PermitRequest& request : sync.requests) {
+  for (const PermitAsk& request : sync.requests) {
     HandleRequest(gateway, request);
   }
 }
 
-void Dispatcher::HandleRequest(NodeId gateway, const PermitRequest& request) {
+void Dispatcher::HandleRequest(NodeId gateway, const PermitAsk& request) {
   auto found = engines_.find(request.engine);
   if (found == engines_.end()) {
     AddReply(gateway, QueueEntry{gateway, request, now_, now_, false},
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -39,7 +39,7 @@
 
 struct OutgoingPermitUpdate {
   NodeId to;
-  PermitUpdate update;
+  PermitNews update;
 };
 
 class Dispatcher {
@@ -57,7 +57,7 @@
  private:
   struct QueueEntry {
     NodeId gateway;
-    PermitRequest request;
+    PermitAsk request;
     absl::Time arrived;
     absl::Time expires;
     bool granted = false;
@@ -72,7 +72,7 @@
     int borrowed = 0;
   };
 
-  void HandleRequest(NodeId gateway, const PermitRequest& request);
+  void HandleRequest(NodeId gateway, const PermitAsk& request);
   void ServeQueue(Engine& engine);
   bool MayStart(const Engine& engine, const QueueEntry& entry) const;
   bool IsDraining(const Engine& engine) const;
@@ -85,7 +85,7 @@
   absl::Time started_;
   absl::Time now_;
   std::map<BackendName, Engine> engines_;
-  std::map<NodeId, PermitUpdate> updates_;
+  std::map<NodeId, PermitNews> updates_;
 };
 
 }  // namespace martenyard::dispatch
--- a/src/dispatch/messages.h
+++ b/src/dispatch/messages.h
@@ -1,5 +1,8 @@
 // Messages between gateways and the dispatchers of engines. Any of them may be lost or duplicated:
 // gateways resend all their requests periodically.
+//
+// The types that tests/layouts/samples.h uses keep their names: it compiles with the headers of
+// earlier builds too.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +14,7 @@
 namespace martenyard::dispatch {
 
 /// A gateway's request to use an engine for one attempt of one call.
-struct PermitRequest {
+struct PermitAsk {
   ledger::Grant grant;
   BackendName engine;
   PartnerName partner;
@@ -27,7 +30,7 @@
 
 /// All requests of one gateway to one dispatcher, or a new one.
 struct PermitSync {
-  std::vector<PermitRequest> requests;
+  std::vector<PermitAsk> requests;
   template <class Archive>
   void serialize(Archive& archive) {
     archive(requests);
@@ -73,7 +76,7 @@
   }
 };
 
-struct PermitUpdate {
+struct PermitNews {
   std::vector<PermitReply> replies;
   std::vector<EngineLoad> loads;
   template <class Archive>
--- a/src/gateway/call_coordinator.cc
+++ b/src/gateway/call_coordinator.cc
@@ -275,8 +275,8 @@
   host_.SendPermitRequests({AskOf(call)});
 }
 
-dispatch::PermitRequest CallCoordinator::AskOf(const Call& call) const {
-  dispatch::PermitRequest ask;
+dispatch::PermitAsk CallCoordinator::AskOf(const Call& call) const {
+  dispatch::PermitAsk ask;
   ask.grant = call.grant;
   ask.engine = call.backend.name;
   ask.partner = call.spec.partner;
@@ -286,7 +286,7 @@
   return ask;
 }
 
-void CallCoordinator::OnPermitUpdate(const dispatch::PermitUpdate& news) {
+void CallCoordinator::OnPermitUpdate(const dispatch::PermitNews& news) {
   for (const dispatch::PermitReply& answer : news.replies) {
     Call* call = FindGranted(answer.grant);
     bool at_engine = call != nullptr && call->backend.name == answer.engine;
@@ -688,7 +688,7 @@
 }
 
 void CallCoordinator::RenewPermits() {
-  std::vector<dispatch::PermitRequest> asks;
+  std::vector<dispatch::PermitAsk> asks;
   for (const auto& [id, call] : calls_) {
     if (call.holds_permit || call.stage == Stage::kWaitingForPermit) {
       asks.push_back(AskOf(call));
--- a/src/gateway/call_coordinator.h
+++ b/src/gateway/call_coordinator.h
@@ -54,7 +54,7 @@
 
   /// Starts the call, or joins `sink` to the same one if it is under way here.
   void Start(const CallSpec& spec, std::shared_ptr<CallSink> sink);
-  void OnPermitUpdate(const dispatch::PermitUpdate& news);
+  void OnPermitUpdate(const dispatch::PermitNews& news);
   void Tick();
   /// Refuses new calls from now on; those under way go on.
   void StopAdmitting() { admitting_ = false; }
@@ -145,7 +145,7 @@
   /// What is known of a call that is given up.
   static ledger::CallState OutcomeWhenGivenUp(const Call& call);
   void CheckTimes(Call& call);
-  dispatch::PermitRequest AskOf(const Call& call) const;
+  dispatch::PermitAsk AskOf(const Call& call) const;
 
   CallHost& host_;
   CoordinatorOptions options_;
--- a/src/gateway/call_host.h
+++ b/src/gateway/call_host.h
@@ -43,7 +43,7 @@
   virtual void AskLedger(GroupId group, ledger::RequestBody body, absl::Time deadline,
                          LedgerCallback on_answer) = 0;
   /// Sends wishes to the engines' dispatchers; answers come by `CallCoordinator::OnPermitUpdate`.
-  virtual void SendPermitRequests(const std::vector<dispatch::PermitRequest>& asks) = 0;
+  virtual void SendPermitRequests(const std::vector<dispatch::PermitAsk>& asks) = 0;
   virtual void SendPermitRelease(const dispatch::PermitRelease& release) = 0;
   /// @return engines of the model service that the partner may use now, leaving ones left out.
   virtual std::vector<EngineCandidate> EnginesFor(const PartnerName& partner,
--- a/src/spread/spread.cc
+++ b/src/spread/spread.cc
@@ -31,7 +31,7 @@
   if (!Store(item)) {
     return false;
   }
-  PushToSome({item}, peers, kNoNode);
+  PushToRandomPeers({item}, peers, kNoNode);
   return true;
 }
 
@@ -49,9 +49,10 @@
   return true;
 }
 
-void Spread::PushToSome(std::vector<Item> items, const std::vector<NodeId>& peers, NodeId except) {
+void Spread::PushToRandomPeers(std::vector<Item> items, const std::vector<NodeId>& peers,
+                               NodeId excluded) {
   std::vector<NodeId> chosen = peers;
-  std::erase(chosen, except);
+  std::erase(chosen, excluded);
   std::shuffle(chosen.begin(), chosen.end(), random_.engine());
   chosen.resize(std::min(chosen.size(), static_cast<std::size_t>(options_.fanout)));
   for (NodeId peer : chosen) {
@@ -65,22 +66,22 @@
                        const std::vector<NodeId>& peers) {
   switch (message.kind) {
     case SpreadKind::kItems: {
-      std::vector<Item> fresh;
+      std::vector<Item> accepted;
       for (const Item& item : message.items) {
-        const Item* present = Find(item.key);
-        bool newer = present == nullptr || item.version > present->version;
+        const Item* stored = Find(item.key);
+        bool newer = stored == nullptr || item.version > stored->version;
         if (newer && validator_(item) && Store(item)) {
-          fresh.push_back(item);
+          accepted.push_back(item);
         }
       }
-      if (!fresh.empty()) {
-        PushToSome(std::move(fresh), peers, from);
+      if (!accepted.empty()) {
+        PushToRandomPeers(std::move(accepted), peers, from);
       }
       break;
     }
     case SpreadKind::kDigest:
       if (message.digest != digest_) {
-        messages_.push_back({from, OwnVersions(/*answer=*/false)});
+        messages_.push_back({from, MakeVersionsMessage(/*is_reply=*/false)});
       }
       break;
     case SpreadKind::kVersions:
@@ -90,32 +91,32 @@
 }
 
 void Spread::OnVersions(NodeId from, const SpreadMessage& message) {
-  std::map<std::string, std::uint64_t> theirs;
-  bool they_are_ahead = false;
+  std::map<std::string, std::uint64_t> remote_versions;
+  bool remote_is_newer = false;
   for (const ItemVersion& version : message.versions) {
-    theirs[version.key] = version.version;
+    remote_versions[version.key] = version.version;
     const Item* own = Find(version.key);
-    they_are_ahead = they_are_ahead || own == nullptr || own->version < version.version;
+    remote_is_newer = remote_is_newer || own == nullptr || own->version < version.version;
   }
   SpreadMessage newer;
   for (const auto& [key, item] : items_) {
-    auto found = theirs.find(key);
-    if (found == theirs.end() || found->second < item.version) {
+    auto found = remote_versions.find(key);
+    if (found == remote_versions.end() || found->second < item.version) {
       newer.items.push_back(item);
     }
   }
   if (!newer.items.empty()) {
     messages_.push_back({from, std::move(newer)});
   }
-  if (they_are_ahead && !message.answer) {
-    messages_.push_back({from, OwnVersions(/*answer=*/true)});
+  if (remote_is_newer && !message.is_reply) {
+    messages_.push_back({from, MakeVersionsMessage(/*is_reply=*/true)});
   }
 }
 
-SpreadMessage Spread::OwnVersions(bool answer) const {
+SpreadMessage Spread::MakeVersionsMessage(bool is_reply) const {
   SpreadMessage message;
   message.kind = SpreadKind::kVersions;
-  message.answer = answer;
+  message.is_reply = is_reply;
   for (const auto& [key, item] : items_) {
     message.versions.push_back({key, item.version});
   }
@@ -127,8 +128,8 @@
   return found == items_.end() ? nullptr : &found->second;
 }
 
-std::vector<SpreadTo> Spread::TakeMessages() {
-  std::vector<SpreadTo> taken = std::move(messages_);
+std::vector<OutgoingSpreadMessage> Spread::TakeMessages() {
+  std::vector<OutgoingSpreadMessage> taken = std::move(messages_);
   messages_.clear();
   return taken;
 }
--- a/src/spread/spread.h
+++ b/src/spread/spread.h
@@ -1,6 +1,7 @@
-// Spreads small versioned items (bundle rolls, the group directory) to every daemon: a new item is
-// pushed to a few random members at once, and digests compared now and then repair what was missed.
-// Decision code only. Items are kept for ever at their highest version; there is no deletion.
+// Gossip protocol that replicates small versioned items (bundle rolls, the group directory) to
+// every daemon. A new item is pushed to a few random members at once; periodic digest comparisons
+// (anti-entropy) repair what was missed. Items are kept at their highest version and never deleted.
+// Decision logic only, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -36,25 +37,25 @@
 };
 
 enum class SpreadKind : std::uint8_t {
-  kItems,     ///< New items, to be passed on.
-  kDigest,    ///< "My items hash to this": answered with `kVersions` when it differs.
-  kVersions,  ///< "I have these versions": answered with newer items, and with `kVersions` back
-              ///< when the sender has newer ones.
+  kItems,     ///< Newer items; the receiver forwards those that are new to it.
+  kDigest,    ///< The hash of all items; a receiver whose hash differs replies with `kVersions`.
+  kVersions,  ///< The versions of all items; the receiver replies with its newer items, and with
+              ///< its own `kVersions` if the sender has newer ones.
 };
 
 struct SpreadMessage {
   SpreadKind kind = SpreadKind::kItems;
   std::uint64_t digest = 0;
-  bool answer = false;  ///< A `kVersions` that must not be answered with another.
+  bool is_reply = false;  ///< Set on a `kVersions` sent in reply to one: ends the exchange.
   std::vector<Item> items;
   std::vector<ItemVersion> versions;
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(kind, digest, answer, items, versions);
+    archive(kind, digest, is_reply, items, versions);
   }
 };
 
-struct SpreadTo {
+struct OutgoingSpreadMessage {
   NodeId to;
   SpreadMessage message;
 };
@@ -66,27 +67,28 @@
 
 class Spread {
  public:
-  /// Checks an item from another member (a signature, a format). @return false to drop it.
+  /// Checks an item of another member, such as its signature. @return false to drop it.
   using Validator = std::function<bool(const Item&)>;
 
   Spread(const SpreadOptions& options, Validator validator, std::uint64_t seed, absl::Time now);
 
-  /// @param peers the members to talk to, this daemon not included.
+  /// @param peers the other members.
   void Tick(absl::Time now, const std::vector<NodeId>& peers);
   void OnMessage(NodeId from, const SpreadMessage& message, const std::vector<NodeId>& peers);
-  /// Takes a validated item of this daemon's own. @return false when it has this version or newer.
+  /// Adds an item that is already validated. @return false if this or a newer version is stored.
   bool Publish(const Item& item, const std::vector<NodeId>& peers);
   const Item* Find(const std::string& key) const;
   const std::map<std::string, Item>& items() const { return items_; }
-  std::vector<SpreadTo> TakeMessages();
-  /// @return items that changed since the last call, oldest change first.
+  std::vector<OutgoingSpreadMessage> TakeMessages();
+  /// @return the items that changed since the previous call, oldest change first.
   std::vector<Item> TakeChanges();
 
  private:
   bool Store(const Item& item);
-  void PushToSome(std::vector<Item> items, const std::vector<NodeId>& peers, NodeId except);
+  void PushToRandomPeers(std::vector<Item> items, const std::vector<NodeId>& peers,
+                         NodeId excluded);
   void OnVersions(NodeId from, const SpreadMessage& message);
-  SpreadMessage OwnVersions(bool answer) const;
+  SpreadMessage MakeVersionsMessage(bool is_reply) const;
 
   SpreadOptions options_;
   Validator validator_;
@@ -94,7 +96,7 @@
   absl::Time next_digest_;
   std::map<std::string, Item> items_;
   std::uint64_t digest_ = 0;  // XOR of the items' hashes.
-  std::vector<SpreadTo> messages_;
+  std::vector<OutgoingSpreadMessage> messages_;
   std::vector<Item> changes_;
 };
 
--- a/tests/dispatch/dispatcher_test.cc
+++ b/tests/dispatch/dispatcher_test.cc
@@ -19,7 +19,7 @@
 
   void Request(const std::string& key, const PartnerName& partner = kOwner,
                bool holds_permit = false, ledger::Tokens attained = 0) {
-    PermitRequest request;
+    PermitAsk request;
     request.grant = Grant(key);
     request.engine = BackendName("e");
     request.partner = partner;
@@ -143,7 +143,7 @@
   dispatcher_.SetEngines(now_, {{BackendName("e"), kOwner, 2, false, false, 0.0},
                                 {BackendName("new"), kOwner, 8, false, false, 0.0}});
   for (int number = 0; number < 8; ++number) {
-    PermitRequest request;
+    PermitAsk request;
     request.grant = Grant("n" + std::to_string(number));
     request.engine = BackendName("new");
     request.partner = kOwner;
--- a/tests/gateway/call_coordinator_test.cc
+++ b/tests/gateway/call_coordinator_test.cc
@@ -78,7 +78,7 @@
       on_answer = std::move(callback);
     }
   }
-  void SendPermitRequests(const std::vector<dispatch::PermitRequest>& wishes) override {
+  void SendPermitRequests(const std::vector<dispatch::PermitAsk>& wishes) override {
     asks = wishes;
   }
   void SendPermitRelease(const dispatch::PermitRelease&) override {}
@@ -95,7 +95,7 @@
   absl::Time now = absl::UnixEpoch();
   std::vector<EngineCandidate> engines;
   FakeBackends backends;
-  std::vector<dispatch::PermitRequest> asks;
+  std::vector<dispatch::PermitAsk> asks;
   LedgerCallback on_answer;  // Of the newest operation.
   std::optional<ledger::FinishCall> finished;
 };
@@ -150,7 +150,7 @@
 
   void Permit(dispatch::PermitVerdict verdict) {
     ASSERT_EQ(host_.asks.size(), 1U);
-    dispatch::PermitRequest ask = host_.asks[0];
+    dispatch::PermitAsk ask = host_.asks[0];
     coordinator_->OnPermitUpdate({{{ask.grant, ask.engine, verdict}}, {}});
   }
 
--- a/tests/layouts/samples.h
+++ b/tests/layouts/samples.h
@@ -244,7 +244,7 @@
     reply.program = program;
     reply.grants_lost = {grant};
     reply.programs_over = {ProgramId("program-0")};
-    dispatch::PermitRequest ask{grant, BackendName("engine-1"), PartnerName("tournament"), 5, 700, true};
+    dispatch::PermitAsk ask{grant, BackendName("engine-1"), PartnerName("tournament"), 5, 700, true};
     spread::SpreadMessage spread{spread::SpreadKind::kItems, 9, true, {{"key", 3, "value"}}, {{"key", 3}}};
     frame("daemon-group-message",
           daemon::GroupMessage{GroupId(3), consensus::AppendReply{7, true, 42, 41, 5}});
@@ -253,8 +253,8 @@
     frame("daemon-permit-sync", dispatch::PermitSync{{ask}});
     frame("daemon-permit-release", dispatch::PermitRelease{grant, BackendName("engine-1"), true});
     frame("daemon-permit-news",
-          dispatch::PermitUpdate{{{grant, BackendName("engine-1"), dispatch::PermitVerdict::kFull}},
-                                 {{BackendName("engine-1"), 4, 2}}});
+          dispatch::PermitNews{{{grant, BackendName("engine-1"), dispatch::PermitVerdict::kFull}},
+                               {{BackendName("engine-1"), 4, 2}}});
     frame("daemon-spread", spread);
     visit("daemon-command", ledger::Command{1234, finish});
     visit("daemon-roll",
--- a/tests/spread/spread_test.cc
+++ b/tests/spread/spread_test.cc
@@ -8,9 +8,9 @@
 namespace martenyard::spread {
 namespace {
 
-class Group {
+class Cluster {
  public:
-  explicit Group(std::size_t size) {
+  explicit Cluster(std::size_t size) {
     for (std::size_t number = 1; number <= size; ++number) {
       ids_.push_back(NodeId(number));
       auto validator = [](const Item& item) { return item.value != "forged"; };
@@ -32,7 +32,7 @@
     while (busy) {
       busy = false;
       for (NodeId from : ids_) {
-        for (SpreadTo& message : members_[from]->TakeMessages()) {
+        for (OutgoingSpreadMessage& message : members_[from]->TakeMessages()) {
           busy = true;
           if (random_.Uniform() >= loss) {
             members_[message.to]->OnMessage(from, message.message, PeersOf(message.to));
@@ -50,7 +50,7 @@
     Deliver(loss);
   }
 
-  std::size_t CountAt(const std::string& key, std::uint64_t version) {
+  std::size_t CountMembersWith(const std::string& key, std::uint64_t version) {
     std::size_t count = 0;
     for (NodeId id : ids_) {
       const Item* item = members_[id]->Find(key);
@@ -66,43 +66,43 @@
   std::map<NodeId, std::unique_ptr<Spread>> members_;
 };
 
-TEST(SpreadTest, NewItemReachesEveryoneAlsoOverALossyNetwork) {
-  Group group(50);
-  group.At(1).Publish({"roll/a", 1, "x"}, group.PeersOf(NodeId(1)));
-  group.Deliver(/*loss=*/0.5);
-  for (int round = 0; round < 20 && group.CountAt("roll/a", 1) < 50; ++round) {
-    group.Tick(/*loss=*/0.3);
+TEST(SpreadTest, NewItemReachesAllMembersDespiteMessageLoss) {
+  Cluster cluster(50);
+  cluster.At(1).Publish({"roll/a", 1, "x"}, cluster.PeersOf(NodeId(1)));
+  cluster.Deliver(/*loss=*/0.5);
+  for (int round = 0; round < 20 && cluster.CountMembersWith("roll/a", 1) < 50; ++round) {
+    cluster.Tick(/*loss=*/0.3);
   }
-  EXPECT_EQ(group.CountAt("roll/a", 1), 50U);
+  EXPECT_EQ(cluster.CountMembersWith("roll/a", 1), 50U);
 }
 
 TEST(SpreadTest, LowerVersionNeverReplacesAHigherOne) {
-  Group group(3);
-  group.At(1).Publish({"k", 2, "new"}, group.PeersOf(NodeId(1)));
-  group.Deliver();
-  EXPECT_FALSE(group.At(2).Publish({"k", 1, "old"}, group.PeersOf(NodeId(2))));
+  Cluster cluster(3);
+  cluster.At(1).Publish({"k", 2, "new"}, cluster.PeersOf(NodeId(1)));
+  cluster.Deliver();
+  EXPECT_FALSE(cluster.At(2).Publish({"k", 1, "old"}, cluster.PeersOf(NodeId(2))));
   SpreadMessage late;
   late.items = {{"k", 1, "old"}};
-  group.At(3).OnMessage(NodeId(1), late, {});
-  EXPECT_EQ(group.At(3).Find("k")->value, "new");
+  cluster.At(3).OnMessage(NodeId(1), late, {});
+  EXPECT_EQ(cluster.At(3).Find("k")->value, "new");
 }
 
-TEST(SpreadTest, ForgedItemIsNeitherTakenNorPassedOn) {
-  Group group(3);
+TEST(SpreadTest, InvalidItemIsNeitherStoredNorForwarded) {
+  Cluster cluster(3);
   SpreadMessage message;
   message.items = {{"k", 9, "forged"}};
-  group.At(2).OnMessage(NodeId(1), message, group.PeersOf(NodeId(2)));
-  group.Deliver();
-  EXPECT_EQ(group.CountAt("k", 9), 0U);
+  cluster.At(2).OnMessage(NodeId(1), message, cluster.PeersOf(NodeId(2)));
+  cluster.Deliver();
+  EXPECT_EQ(cluster.CountMembersWith("k", 9), 0U);
 }
 
 TEST(SpreadTest, MembersWithEqualItemsExchangeOnlyDigests) {
-  Group group(2);
-  group.At(1).Publish({"k", 1, "v"}, group.PeersOf(NodeId(1)));
-  group.Deliver();
-  group.Tick();
-  EXPECT_TRUE(group.At(1).TakeMessages().empty());
-  EXPECT_EQ(group.At(2).TakeChanges().size(), 1U);
+  Cluster cluster(2);
+  cluster.At(1).Publish({"k", 1, "v"}, cluster.PeersOf(NodeId(1)));
+  cluster.Deliver();
+  cluster.Tick();
+  EXPECT_TRUE(cluster.At(1).TakeMessages().empty());
+  EXPECT_EQ(cluster.At(2).TakeChanges().size(), 1U);
 }
 
 }  // namespace
