--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -126,7 +126,7 @@
   while (busy) {
     FlushMembership();
     FlushSpread();
-    for (gateway::LedgerRequestTo& request : router_.TakeRequests()) {
+    for (gateway::OutgoingLedgerRequest& request : router_.TakeRequests()) {
       Send(request.to, std::move(request.request));
     }
     for (dispatch::OutgoingPermitUpdate& news : dispatcher_.TakeUpdates()) {
@@ -233,7 +233,7 @@
   for (const membership::MemberInfo& member : before) {
     if (membership_.StatusOf(member.id) == membership::MemberStatus::kDead) {
       MARTENYARD_LOG_INFO("membership", "Daemon " << member.peer.ToString() << " is gone.");
-      router_.OnMemberGone(now_, member.id);
+      router_.OnMemberRemoved(now_, member.id);
     }
   }
   MARTENYARD_LOG_INFO("membership", "Members up: " << live_.all.size() << ".");
@@ -495,9 +495,9 @@
                                             static_cast<std::uint64_t>(options_.groups)));
 }
 
-void Node::AskLedger(GroupId group, ledger::RequestBody body, absl::Time deadline,
-                     gateway::LedgerCallback on_answer) {
-  router_.Ask(group, std::move(body), deadline, std::move(on_answer));
+void Node::SendLedgerRequest(GroupId group, ledger::RequestBody body, absl::Time deadline,
+                             gateway::LedgerCallback on_answer) {
+  router_.Submit(group, std::move(body), deadline, std::move(on_answer));
 }
 
 // ---- Engines ----
@@ -607,15 +607,15 @@
     by_group[GroupOf(program)].programs.push_back(program);
   }
   for (auto& [group, check] : by_group) {
-    AskLedger(group, std::move(check), Now() + kSweepPatience,
-              [this, url = engine.url](const gateway::LedgerAnswer& answer) {
-                if (answer.status != gateway::LedgerAnswer::Status::kAnswered) {
-                  return;
-                }
-                for (const ProgramId& program : answer.reply.programs_over) {
-                  environment_.Backends().ReleaseContext(url, program.value, [](bool) {});
-                }
-              });
+    SendLedgerRequest(group, std::move(check), Now() + kSweepPatience,
+                      [this, url = engine.url](const gateway::LedgerResult& answer) {
+                        if (answer.status != gateway::LedgerResult::Status::kAnswered) {
+                          return;
+                        }
+                        for (const ProgramId& program : answer.reply.programs_over) {
+                          environment_.Backends().ReleaseContext(url, program.value, [](bool) {});
+                        }
+                      });
   }
 }
 
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -106,8 +106,8 @@
   absl::Time Now() const override { return environment_.Now(); }
   NodeId Self() const override { return membership_.self().id; }
   GroupId GroupOf(const ProgramId& program) const override;
-  void AskLedger(GroupId group, ledger::RequestBody body, absl::Time deadline,
-                 gateway::LedgerCallback on_answer) override;
+  void SendLedgerRequest(GroupId group, ledger::RequestBody body, absl::Time deadline,
+                         gateway::LedgerCallback on_answer) override;
   void SendPermitRequests(const std::vector<dispatch::PermitAsk>& asks) override;
   void SendPermitRelease(const dispatch::PermitRelease& release) override;
   std::vector<gateway::EngineCandidate> EnginesFor(const PartnerName& partner,
--- a/src/gateway/call_coordinator.cc
+++ b/src/gateway/call_coordinator.cc
@@ -12,28 +12,28 @@
 using ledger::CallState;
 using ledger::Verdict;
 
-constexpr int kRetrySoonSeconds = 1;
+constexpr int kRetryAfterSeconds = 1;
 constexpr absl::Duration kBackoffBase = absl::Milliseconds(50);
-constexpr absl::Duration kBackoffCap = absl::Seconds(2);
-constexpr absl::Duration kRenewPatience = absl::Seconds(1);
+constexpr absl::Duration kMaxBackoff = absl::Seconds(2);
+constexpr absl::Duration kRenewTimeout = absl::Seconds(1);
 
-/// How a refusal to begin is told. All of these are for good: the ledger either keeps the key void
-/// or the reason can't go away, so that no late duplicate of the request runs.
-struct RefusalText {
+/// How a verdict that rejects a call is reported. All of them are final: the ledger keeps the key
+/// void or the reason is permanent, so that no late duplicate of the request runs.
+struct Rejection {
   Verdict verdict;
   int status;
   const char* title;
 };
 
-constexpr RefusalText kRefusals[] = {
+constexpr Rejection kRejections[] = {
     {Verdict::kUnknownProgram, 404, "no such program"},
     {Verdict::kProgramEnded, 409, "the program has ended"},
     {Verdict::kNotAllowed, 403, "the bundle does not let this program call the service"},
     {Verdict::kKeyReused, 422, "the Idempotency-Key was used for another request"},
     {Verdict::kBudgetExhausted, 409, "the program's budget does not cover this call"},
-    {Verdict::kTooManyCalls, 409, "the program made as many calls as its bundle allows"},
-    {Verdict::kTooLong, 409, "the program's wall time is over"},
-    {Verdict::kHistoryFull, 409, "the program's history is as long as its bundle allows"},
+    {Verdict::kTooManyCalls, 409, "the program reached its bundle's limit of calls"},
+    {Verdict::kTooLong, 409, "the program exceeded its wall time limit"},
+    {Verdict::kHistoryFull, 409, "the program's history reached its bundle's size limit"},
 };
 
 clients::BackendKind BackendKindOf(CallKind kind) {
@@ -49,14 +49,14 @@
   return end;
 }
 
-/// The request was turned away before its ledger could tell what the key's earlier requests did.
-CallEnd TurnedAway(int status, const std::string& title) {
+/// The request was rejected and started nothing, but earlier requests with its key may have run.
+CallEnd NotAdmitted(int status, const std::string& title) {
   CallEnd end;
   end.status = status;
   end.title = title;
   end.outcome = CallState::kUnknown;
   end.started = false;
-  end.retry_after_seconds = kRetrySoonSeconds;
+  end.retry_after_seconds = kRetryAfterSeconds;
   return end;
 }
 
@@ -93,15 +93,15 @@
     return;
   }
   if (!admitting_) {
-    sink->OnEnd(TurnedAway(503, "this daemon is stopping"));
+    sink->OnEnd(NotAdmitted(503, "this daemon is stopping"));
     return;
   }
   if (calls_.size() >= options_.max_active) {
-    sink->OnEnd(TurnedAway(503, "this daemon has too many calls under way"));
+    sink->OnEnd(NotAdmitted(503, "this daemon reached its limit of active calls"));
     return;
   }
   ++stats_.calls_started;
-  CallId id = ++last_call_;
+  CallId id = ++last_call_id_;
   Call& call = calls_[id];
   call.id = id;
   call.admission = AdmissionId(random_.NextId());
@@ -126,56 +126,59 @@
   begin.reserve = spec.Reservation();
   begin.epoch = spec.epoch;
   begin.turn = spec.turn;
-  call.asked_at = host_.Now();
-  host_.AskLedger(host_.GroupOf(spec.program), ledger::Operation(std::move(begin)), spec.deadline,
-                  [this, id = call.id](const LedgerAnswer& answer) { OnBegun(id, answer); });
+  call.requested_at = host_.Now();
+  host_.SendLedgerRequest(host_.GroupOf(spec.program), ledger::Operation(std::move(begin)),
+                          spec.deadline, [this, id = call.id](const LedgerResult& ledger_result) {
+                            OnBeginResult(id, ledger_result);
+                          });
 }
 
-void CallCoordinator::OnBegun(CallId id, const LedgerAnswer& answer) {
+void CallCoordinator::OnBeginResult(CallId id, const LedgerResult& ledger_result) {
   Call* call = Find(id);
   if (call == nullptr) {
     return;
   }
-  if (answer.status == LedgerAnswer::Status::kNotProposed) {
-    End(*call, TurnedAway(503, "the program's ledger can't be reached"));
+  if (ledger_result.status == LedgerResult::Status::kNotProposed) {
+    End(*call, NotAdmitted(503, "the program's ledger is unreachable"));
     return;
   }
-  if (answer.status == LedgerAnswer::Status::kUncertain) {
+  if (ledger_result.status == LedgerResult::Status::kUncertain) {
     VoidAdmission(*call);
     return;
   }
-  const ledger::ApplyResult& result = answer.reply.result;
+  const ledger::ApplyResult& result = ledger_result.reply.result;
   if (result.verdict == Verdict::kDone) {
-    TakeGrant(*call, result);
+    AcceptGrant(*call, result);
   } else if (result.verdict == Verdict::kAlready && result.call) {
     EndFromRecord(*call, *result.call);
   } else {
-    RefuseAdmission(*call, result.verdict);
+    RejectAdmission(*call, result.verdict);
   }
 }
 
 void CallCoordinator::VoidAdmission(Call& call) {
   call.status_if_not_run = 504;
-  call.reason = "the call did not get its turn in time";
-  ledger::VoidCall order{call.spec.program, call.spec.key, call.spec.request_hash};
-  host_.AskLedger(host_.GroupOf(call.spec.program), ledger::Operation(std::move(order)),
-                  host_.Now() + options_.void_patience,
-                  [this, id = call.id](const LedgerAnswer& answer) { OnVoided(id, answer); });
+  call.reason = "the call was not admitted before its deadline";
+  ledger::VoidCall command{call.spec.program, call.spec.key, call.spec.request_hash};
+  host_.SendLedgerRequest(
+      host_.GroupOf(call.spec.program), ledger::Operation(std::move(command)),
+      host_.Now() + options_.void_timeout,
+      [this, id = call.id](const LedgerResult& ledger_result) { OnVoidResult(id, ledger_result); });
 }
 
-void CallCoordinator::OnVoided(CallId id, const LedgerAnswer& answer) {
+void CallCoordinator::OnVoidResult(CallId id, const LedgerResult& ledger_result) {
   Call* call = Find(id);
   if (call == nullptr) {
     return;
   }
-  const auto& record = answer.reply.result.call;
-  if (answer.status != LedgerAnswer::Status::kAnswered || !record) {
-    EndUnknown(*call, 503, "the program's ledger did not answer in time");
+  const auto& record = ledger_result.reply.result.call;
+  if (ledger_result.status != LedgerResult::Status::kAnswered || !record) {
+    EndWithUnknownOutcome(*call, 503, "the program's ledger did not reply in time");
     return;
   }
-  bool began_here = record->state == CallState::kRunning && record->admission == call->admission;
-  if (began_here) {
-    // Its intent was committed, but nothing was sent: that can be settled truthfully.
+  bool admitted_here = record->state == CallState::kRunning && record->admission == call->admission;
+  if (admitted_here) {
+    // The intent is committed but nothing was sent to a back end, so the call surely did not run.
     call->granted = true;
     call->grant = {call->spec.program, call->spec.key, record->attempt};
     Commit(*call, CallState::kNotRun, "");
@@ -187,25 +190,25 @@
   EndFromRecord(*call, *record);
 }
 
-void CallCoordinator::RefuseAdmission(Call& call, Verdict verdict) {
+void CallCoordinator::RejectAdmission(Call& call, Verdict verdict) {
   if (verdict == Verdict::kBusy) {
-    End(call, TurnedAway(429, "too many calls of this program wait for their turn"));
+    End(call, NotAdmitted(429, "too many calls of this program are queued"));
     return;
   }
   if (verdict == Verdict::kStaleEpoch) {
-    End(call, TurnedAway(503, "a newer bundle is in force and not yet known here"));
+    End(call, NotAdmitted(503, "a newer bundle is in force and not yet known to this daemon"));
     return;
   }
-  for (const RefusalText& refusal : kRefusals) {
-    if (refusal.verdict == verdict) {
-      End(call, NotRun(refusal.status, refusal.title));
+  for (const Rejection& rejection : kRejections) {
+    if (rejection.verdict == verdict) {
+      End(call, NotRun(rejection.status, rejection.title));
       return;
     }
   }
-  EndUnknown(call, 503, "the ledger gave an answer that is not understood");
+  EndWithUnknownOutcome(call, 503, "the ledger returned an unexpected verdict");
 }
 
-void CallCoordinator::TakeGrant(Call& call, const ledger::ApplyResult& result) {
+void CallCoordinator::AcceptGrant(Call& call, const ledger::ApplyResult& result) {
   call.granted = true;
   call.grant = {call.spec.program, call.spec.key, result.call->attempt};
   call.priority = host_.PriorityOf(call.spec.partner, result.program_kind);
@@ -217,17 +220,17 @@
     call.messages = BuildMessages(result.history, call.spec.turn);
     call.context_tokens = EstimateTokens(call.messages);
   }
-  BeginWork(call);
+  StartWork(call);
 }
 
 bool CallCoordinator::GrantIsFresh(const Call& call) const {
-  return host_.Now() < call.asked_at + options_.grant_lease * options_.lease_share_used;
+  return host_.Now() < call.requested_at + options_.grant_lease * options_.usable_lease_fraction;
 }
 
-void CallCoordinator::BeginWork(Call& call) {
+void CallCoordinator::StartWork(Call& call) {
   if (!GrantIsFresh(call)) {
-    // The call waited long for its turn, or this daemon was frozen: the grant may be lost by now.
-    call.stage = Stage::kConfirming;
+    // Admission took long, or this process was suspended: the grant may have lapsed.
+    call.stage = Stage::kRenewingGrant;
     Renew(host_.GroupOf(call.spec.program), {call.grant});
     return;
   }
@@ -245,8 +248,8 @@
   call.resume_at = host_.Now() + options_.placement_retry;
   std::vector<EngineCandidate> usable;
   for (EngineCandidate& candidate : host_.EnginesFor(call.spec.partner, call.spec.service)) {
-    auto avoided = call.avoided.find(candidate.backend.name);
-    if (avoided != call.avoided.end() && avoided->second > host_.Now()) {
+    auto cooling_down = call.cooling_down.find(candidate.backend.name);
+    if (cooling_down != call.cooling_down.end() && cooling_down->second > host_.Now()) {
       continue;
     }
     if (candidate.backend.name == call.last_engine) {
@@ -264,56 +267,55 @@
                                          round_robin_, random_);
   if (!chosen) {
     call.reason = "no engine is available for this model";
-    return;  // Tried again until the deadline.
+    return;  // Retried by `Tick` until the deadline.
   }
   call.backend = usable[*chosen].backend;
-  AskPermit(call);
+  RequestPermit(call);
 }
 
-void CallCoordinator::AskPermit(Call& call) {
+void CallCoordinator::RequestPermit(Call& call) {
   call.stage = Stage::kWaitingForPermit;
-  host_.SendPermitRequests({AskOf(call)});
+  host_.SendPermitRequests({MakePermitRequest(call)});
 }
 
-dispatch::PermitAsk CallCoordinator::AskOf(const Call& call) const {
-  dispatch::PermitAsk ask;
-  ask.grant = call.grant;
-  ask.engine = call.backend.name;
-  ask.partner = call.spec.partner;
-  ask.priority = call.priority;
-  ask.attained = call.attained;
-  ask.holds_permit = call.holds_permit;
-  return ask;
+dispatch::PermitAsk CallCoordinator::MakePermitRequest(const Call& call) const {
+  dispatch::PermitAsk request;
+  request.grant = call.grant;
+  request.engine = call.backend.name;
+  request.partner = call.spec.partner;
+  request.priority = call.priority;
+  request.attained = call.attained;
+  request.holds_permit = call.holds_permit;
+  return request;
 }
 
-void CallCoordinator::OnPermitUpdate(const dispatch::PermitNews& news) {
-  for (const dispatch::PermitReply& answer : news.replies) {
-    Call* call = FindGranted(answer.grant);
-    bool at_engine = call != nullptr && call->backend.name == answer.engine;
+void CallCoordinator::OnPermitUpdate(const dispatch::PermitNews& update) {
+  for (const dispatch::PermitReply& reply : update.replies) {
+    Call* call = FindGranted(reply.grant);
+    bool at_engine = call != nullptr && call->backend.name == reply.engine;
     bool current = at_engine && call->stage == Stage::kWaitingForPermit;
-    if (current && answer.verdict == dispatch::PermitVerdict::kGranted) {
+    if (current && reply.verdict == dispatch::PermitVerdict::kGranted) {
       call->holds_permit = true;
       if (GrantIsFresh(*call)) {
         RunModel(*call);
       } else {
-        LeaveEngine(*call, /*engine_draining=*/false);
-        BeginWork(*call);
+        ReleaseEngine(*call, /*engine_draining=*/false);
+        StartWork(*call);
       }
-    } else if (current && answer.verdict != dispatch::PermitVerdict::kQueued) {
-      call->avoided[answer.engine] = host_.Now() + options_.engine_penalty;
+    } else if (current && reply.verdict != dispatch::PermitVerdict::kQueued) {
+      call->cooling_down[reply.engine] = host_.Now() + options_.engine_cooldown;
       Place(*call);
-    } else if (!current && answer.verdict == dispatch::PermitVerdict::kGranted) {
-      // A late grant for what is no longer wanted must not hold a slot; but an engine that this
-      // very call uses right now is not given back.
+    } else if (!current && reply.verdict == dispatch::PermitVerdict::kGranted) {
+      // A late permit must not hold a slot, unless it is for the engine that this call uses now.
       bool in_use = at_engine && call->holds_permit;
       if (!in_use) {
-        host_.SendPermitRelease({answer.grant, answer.engine, false});
+        host_.SendPermitRelease({reply.grant, reply.engine, false});
       }
     }
   }
 }
 
-/// How an earlier dispatch failed is not why this one ends.
+/// Clears `reason`: an earlier dispatch's failure must not be reported for this one.
 void CallCoordinator::BeginDispatch(Call& call) {
   call.stage = Stage::kRunning;
   ++call.dispatches;
@@ -355,15 +357,15 @@
   }
   call->handle = 0;
   using Status = clients::ModelOutcome::Status;
-  LeaveEngine(*call, outcome.status == Status::kLeaving);
+  ReleaseEngine(*call, outcome.status == Status::kLeaving);
   call->may_have_run = call->may_have_run || outcome.status == Status::kBroken;
   switch (outcome.status) {
     case Status::kFinished:
-      call->usage = UsageOfAnswer(*call, outcome.usage);
+      call->usage = TotalUsage(*call, outcome.usage);
       stats_.prompt_tokens += static_cast<std::uint64_t>(outcome.usage.prompt_tokens);
       stats_.cached_tokens += static_cast<std::uint64_t>(outcome.usage.cached_tokens);
       retry_budget_ =
-          std::min(options_.retry_budget_cap, retry_budget_ + options_.retry_budget_share);
+          std::min(options_.retry_budget_cap, retry_budget_ + options_.retry_budget_per_call);
       Commit(*call, CallState::kRan,
              BuildModelResult(call->text, call->usage.prompt_tokens, call->usage.cached_tokens,
                               call->usage.completion_tokens));
@@ -371,7 +373,7 @@
     case Status::kRejected:
       call->status_if_not_run = 422;
       call->reason = "the engine rejected the request: " + outcome.detail;
-      Commit(*call, OutcomeWhenGivenUp(*call), "");
+      Commit(*call, OutcomeIfAbandoned(*call), "");
       break;
     case Status::kLeaving:
     case Status::kRefused:
@@ -381,11 +383,10 @@
   }
 }
 
-/// The engine that finished reports on its own run. Of an answer that went on from another
-/// engine's, nothing tells whether the report is of the whole; one without a report is not free
-/// either. Both count at least what the text is estimated at.
-clients::ModelUsage CallCoordinator::UsageOfAnswer(const Call& call,
-                                                   const clients::ModelUsage& reported) {
+/// The report of the engine that finished may cover only its own part of a resumed text, or be
+/// missing. In both cases at least the estimated tokens of the whole text are counted.
+clients::ModelUsage CallCoordinator::TotalUsage(const Call& call,
+                                                const clients::ModelUsage& reported) {
   clients::ModelUsage usage = reported;
   if (call.resumed || usage.completion_tokens == 0) {
     usage.completion_tokens = std::max(usage.completion_tokens, EstimateTokens(call.text));
@@ -393,21 +394,21 @@
   return usage;
 }
 
-void CallCoordinator::LeaveEngine(Call& call, bool engine_draining) {
+void CallCoordinator::ReleaseEngine(Call& call, bool engine_draining) {
   if (call.holds_permit || call.stage == Stage::kWaitingForPermit) {
     host_.SendPermitRelease({call.grant, call.backend.name, engine_draining});
   }
   call.holds_permit = false;
 }
 
-/// Another engine goes on where this one stopped: the caller sees one whole answer.
+/// Continues the call on another engine, from the text generated so far.
 void CallCoordinator::Redispatch(Call& call, const std::string& reason) {
-  call.avoided[call.backend.name] = host_.Now() + options_.engine_penalty;
+  call.cooling_down[call.backend.name] = host_.Now() + options_.engine_cooldown;
   call.reason = reason;
   call.status_if_not_run = 503;
   ++stats_.redispatches;
   if (call.dispatches >= options_.max_dispatches) {
-    Commit(call, OutcomeWhenGivenUp(call), "");
+    Commit(call, OutcomeIfAbandoned(call), "");
     return;
   }
   Place(call);
@@ -420,8 +421,8 @@
       host_.ServicesFor(call.spec.partner, BackendKindOf(call.spec.kind), call.spec.service);
   std::vector<clients::Backend> fresh;
   for (const clients::Backend& backend : backends) {
-    auto avoided = call.avoided.find(backend.name);
-    if (avoided == call.avoided.end() || avoided->second <= host_.Now()) {
+    auto cooling_down = call.cooling_down.find(backend.name);
+    if (cooling_down == call.cooling_down.end() || cooling_down->second <= host_.Now()) {
       fresh.push_back(backend);
     }
   }
@@ -452,7 +453,7 @@
   using Status = clients::ServiceOutcome::Status;
   if (outcome.status == Status::kRan) {
     retry_budget_ =
-        std::min(options_.retry_budget_cap, retry_budget_ + options_.retry_budget_share);
+        std::min(options_.retry_budget_cap, retry_budget_ + options_.retry_budget_per_call);
     Commit(*call, CallState::kRan, outcome.result);
     return;
   }
@@ -460,22 +461,22 @@
   call->status_if_not_run = 503;
   call->may_have_run = call->may_have_run || outcome.status == Status::kUnknown;
   bool may_run_again = outcome.status == Status::kNotRun || call->spec.repeatable;
-  if (may_run_again && call->dispatches < options_.max_dispatches && MayRetry()) {
+  if (may_run_again && call->dispatches < options_.max_dispatches && ConsumeRetry()) {
     ++stats_.redispatches;
-    call->avoided[call->backend.name] = host_.Now() + options_.engine_penalty;
+    call->cooling_down[call->backend.name] = host_.Now() + options_.engine_cooldown;
     absl::Duration backoff =
-        std::min(kBackoffCap, kBackoffBase * (std::int64_t{1} << std::min(call->dispatches, 10)));
+        std::min(kMaxBackoff, kBackoffBase * (std::int64_t{1} << std::min(call->dispatches, 10)));
     call->stage = Stage::kBackingOff;
     call->resume_at = host_.Now() + backoff * (0.5 + 0.5 * random_.Uniform());
     return;
   }
-  // An earlier try of a repeatable call may have run even if the last one surely did not.
+  // An earlier dispatch of a repeatable call may have run even if the last one did not.
   bool surely_not_run =
       outcome.status == Status::kNotRun && (!call->spec.repeatable || call->dispatches == 1);
   Commit(*call, surely_not_run ? CallState::kNotRun : CallState::kUnknown, "");
 }
 
-bool CallCoordinator::MayRetry() {
+bool CallCoordinator::ConsumeRetry() {
   if (retry_budget_ < 1.0) {
     ++stats_.retries_denied;
     return false;
@@ -484,7 +485,7 @@
   return true;
 }
 
-// ---- The end ----
+// ---- Completion ----
 
 void CallCoordinator::Commit(Call& call, CallState outcome, std::string result) {
   call.stage = Stage::kCommitting;
@@ -496,22 +497,24 @@
     finish.used = call.spec.turn_tokens + call.usage.completion_tokens;
     finish.engine = call.backend.name;
   }
-  host_.AskLedger(host_.GroupOf(call.spec.program), ledger::Operation(std::move(finish)),
-                  host_.Now() + options_.commit_patience,
-                  [this, id = call.id](const LedgerAnswer& answer) { OnCommitted(id, answer); });
+  host_.SendLedgerRequest(
+      host_.GroupOf(call.spec.program), ledger::Operation(std::move(finish)),
+      host_.Now() + options_.commit_timeout,
+      [this, id = call.id](const LedgerResult& ledger_result) { OnCommitted(id, ledger_result); });
 }
 
-void CallCoordinator::OnCommitted(CallId id, const LedgerAnswer& answer) {
+void CallCoordinator::OnCommitted(CallId id, const LedgerResult& ledger_result) {
   Call* call = Find(id);
   if (call == nullptr) {
     return;
   }
-  bool stored = answer.status == LedgerAnswer::Status::kAnswered && answer.reply.result.call;
+  bool stored =
+      ledger_result.status == LedgerResult::Status::kAnswered && ledger_result.reply.result.call;
   if (!stored) {
-    EndUnknown(*call, 503, "the result could not be stored");
+    EndWithUnknownOutcome(*call, 503, "the result could not be stored");
     return;
   }
-  EndFromRecord(*call, *answer.reply.result.call);
+  EndFromRecord(*call, *ledger_result.reply.result.call);
 }
 
 void CallCoordinator::EndFromRecord(Call& call, const ledger::CallRecord& record) {
@@ -524,35 +527,37 @@
       return;
     }
     case CallState::kNotRun: {
-      std::string title = call.reason.empty() ? "the call was not run before" : call.reason;
-      CallEnd end = NotRun(call.status_if_not_run, title + "; its key is void");
+      std::string title = call.reason.empty()
+                              ? "an earlier request with this key ended without running the call"
+                              : call.reason;
+      CallEnd end = NotRun(call.status_if_not_run, title + "; its Idempotency-Key is void");
       if (call.status_if_not_run >= 500) {
-        end.retry_after_seconds = kRetrySoonSeconds;
+        end.retry_after_seconds = kRetryAfterSeconds;
       }
       End(call, end);
       return;
     }
     case CallState::kRunning:
     case CallState::kUnknown:
-      EndUnknown(call, 504,
-                 call.reason.empty() ? "it is not known whether the call ran" : call.reason);
+      EndWithUnknownOutcome(call, 504,
+                            call.reason.empty() ? "the call may or may not have run" : call.reason);
       return;
   }
 }
 
-void CallCoordinator::EndUnknown(Call& call, int status, const std::string& title) {
+void CallCoordinator::EndWithUnknownOutcome(Call& call, int status, const std::string& title) {
   CallEnd end;
   end.status = status;
   end.title = title;
   end.outcome = CallState::kUnknown;
   if (call.spec.repeatable) {
-    end.retry_after_seconds = kRetrySoonSeconds;
+    end.retry_after_seconds = kRetryAfterSeconds;
   }
   End(call, end);
 }
 
 void CallCoordinator::End(Call& call, const CallEnd& end) {
-  bool turned_away = !end.started && end.outcome == CallState::kUnknown;
+  bool not_admitted = !end.started && end.outcome == CallState::kUnknown;
   switch (end.outcome) {
     case CallState::kRan:
       ++stats_.calls_ran;
@@ -561,7 +566,7 @@
       ++stats_.calls_not_run;
       break;
     default:
-      ++(turned_away ? stats_.calls_refused : stats_.calls_unknown);
+      ++(not_admitted ? stats_.calls_refused : stats_.calls_unknown);
       break;
   }
   StopWork(call);
@@ -578,10 +583,10 @@
     host_.Backends().Cancel(call.handle);
     call.handle = 0;
   }
-  LeaveEngine(call, /*engine_draining=*/false);
+  ReleaseEngine(call, /*engine_draining=*/false);
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 void CallCoordinator::Tick() {
   std::vector<CallId> ids;
@@ -593,7 +598,7 @@
     if (call == nullptr) {
       continue;
     }
-    CheckTimes(*call);
+    CheckTimeouts(*call);
     call = Find(id);
     if (call == nullptr || host_.Now() < call->resume_at) {
       continue;
@@ -611,19 +616,19 @@
   }
 }
 
-void CallCoordinator::CheckTimes(Call& call) {
+void CallCoordinator::CheckTimeouts(Call& call) {
   bool working = call.granted && call.stage != Stage::kCommitting;
   if (!working) {
     return;
   }
-  if (call.stage != Stage::kConfirming && !GrantIsFresh(call)) {
-    EndUnknown(call, 503, "the program's ledger can't be reached");
+  if (call.stage != Stage::kRenewingGrant && !GrantIsFresh(call)) {
+    EndWithUnknownOutcome(call, 503, "the program's ledger is unreachable");
     return;
   }
   if (host_.Now() < call.spec.deadline) {
     return;
   }
-  CallState outcome = OutcomeWhenGivenUp(call);
+  CallState outcome = OutcomeIfAbandoned(call);
   call.status_if_not_run = 504;
   if (call.reason.empty()) {
     call.reason = "the deadline passed";
@@ -632,7 +637,7 @@
   Commit(call, outcome, "");
 }
 
-CallState CallCoordinator::OutcomeWhenGivenUp(const Call& call) {
+CallState CallCoordinator::OutcomeIfAbandoned(const Call& call) {
   bool may_have_run = call.may_have_run || call.handle != 0;
   return may_have_run ? CallState::kUnknown : CallState::kNotRun;
 }
@@ -650,11 +655,11 @@
 }
 
 void CallCoordinator::Renew(GroupId group, std::vector<ledger::Grant> grants) {
-  auto on_answer = [this, grants, asked_at = host_.Now()](const LedgerAnswer& answer) {
-    OnRenewed(grants, asked_at, answer);
+  auto on_answer = [this, grants, requested_at = host_.Now()](const LedgerResult& ledger_result) {
+    OnRenewed(grants, requested_at, ledger_result);
   };
-  host_.AskLedger(group, ledger::RenewGrants{std::move(grants)}, host_.Now() + kRenewPatience,
-                  std::move(on_answer));
+  host_.SendLedgerRequest(group, ledger::RenewGrants{std::move(grants)},
+                          host_.Now() + kRenewTimeout, std::move(on_answer));
 }
 
 CallCoordinator::Call* CallCoordinator::FindGranted(const ledger::Grant& grant) {
@@ -663,39 +668,40 @@
   return call != nullptr && call->granted && call->grant == grant ? call : nullptr;
 }
 
-void CallCoordinator::OnRenewed(const std::vector<ledger::Grant>& asked, absl::Time asked_at,
-                                const LedgerAnswer& answer) {
-  if (answer.status != LedgerAnswer::Status::kAnswered) {
+void CallCoordinator::OnRenewed(const std::vector<ledger::Grant>& renewed, absl::Time requested_at,
+                                const LedgerResult& ledger_result) {
+  if (ledger_result.status != LedgerResult::Status::kAnswered) {
     return;
   }
-  for (const ledger::Grant& lost : answer.reply.grants_lost) {
+  for (const ledger::Grant& lost : ledger_result.reply.grants_lost) {
     Call* call = FindGranted(lost);
-    // While its result is on the way to the ledger, the ledger's answer to that decides.
+    // While a result is being committed, the ledger's reply to that decides.
     if (call != nullptr && call->stage != Stage::kCommitting) {
-      EndUnknown(*call, 503, "this daemon lost the call, or the program was ended");
+      EndWithUnknownOutcome(*call, 503,
+                            "this daemon lost its grant for the call, or the program was ended");
     }
   }
-  for (const ledger::Grant& grant : asked) {
+  for (const ledger::Grant& grant : renewed) {
     Call* call = FindGranted(grant);
     if (call == nullptr) {
       continue;
     }
-    call->asked_at = std::max(call->asked_at, asked_at);
-    if (call->stage == Stage::kConfirming) {
-      BeginWork(*call);
+    call->requested_at = std::max(call->requested_at, requested_at);
+    if (call->stage == Stage::kRenewingGrant) {
+      StartWork(*call);
     }
   }
 }
 
 void CallCoordinator::RenewPermits() {
-  std::vector<dispatch::PermitAsk> asks;
+  std::vector<dispatch::PermitAsk> requests;
   for (const auto& [id, call] : calls_) {
     if (call.holds_permit || call.stage == Stage::kWaitingForPermit) {
-      asks.push_back(AskOf(call));
+      requests.push_back(MakePermitRequest(call));
     }
   }
-  if (!asks.empty()) {
-    host_.SendPermitRequests(asks);
+  if (!requests.empty()) {
+    host_.SendPermitRequests(requests);
   }
 }
 
--- a/src/gateway/call_host.h
+++ b/src/gateway/call_host.h
@@ -1,4 +1,4 @@
-// What the call coordinator needs of the daemon around it.
+// The interface that the call coordinator requires of its daemon.
 #pragma once
 
 #include <functional>
@@ -13,20 +13,20 @@
 
 namespace martenyard::gateway {
 
-/// A ledger's answer, or why there is none.
-struct LedgerAnswer {
+/// A ledger's reply, or why there is none.
+struct LedgerResult {
   enum class Status {
     kAnswered,
-    kNotProposed,  ///< No leader took the request: it surely has no effect.
-    kUncertain,    ///< It may have taken effect, or may yet.
+    kNotProposed,  ///< No leader accepted the request: it has no effect.
+    kUncertain,    ///< The request may have taken effect, or may still do so.
   };
   Status status = Status::kUncertain;
   ledger::LedgerReply reply;
 };
 
-using LedgerCallback = std::function<void(const LedgerAnswer&)>;
+using LedgerCallback = std::function<void(const LedgerResult&)>;
 
-/// An engine that could take a call.
+/// An engine that can run a call.
 struct EngineCandidate {
   clients::Backend backend;
   scheduling::EngineView view;
@@ -36,19 +36,20 @@
  public:
   virtual ~CallHost() = default;
   virtual NodeId Self() const = 0;
-  /// @return the time of this very moment: after a freeze no earlier reading may be used.
+  /// @return the current time, read on each call: a cached time is stale after a process
+  /// suspension.
   virtual absl::Time Now() const = 0;
   virtual GroupId GroupOf(const ProgramId& program) const = 0;
-  /// Asks the group's leader, following it as it moves, until `deadline`.
-  virtual void AskLedger(GroupId group, ledger::RequestBody body, absl::Time deadline,
-                         LedgerCallback on_answer) = 0;
-  /// Sends wishes to the engines' dispatchers; answers come by `CallCoordinator::OnPermitUpdate`.
-  virtual void SendPermitRequests(const std::vector<dispatch::PermitAsk>& asks) = 0;
+  /// Sends a request to the group's leader, following changes of leader, until `deadline`.
+  virtual void SendLedgerRequest(GroupId group, ledger::RequestBody body, absl::Time deadline,
+                                 LedgerCallback on_result) = 0;
+  /// Sends requests to the engines' dispatchers, which reply to `CallCoordinator::OnPermitUpdate`.
+  virtual void SendPermitRequests(const std::vector<dispatch::PermitAsk>& requests) = 0;
   virtual void SendPermitRelease(const dispatch::PermitRelease& release) = 0;
-  /// @return engines of the model service that the partner may use now, leaving ones left out.
+  /// @return the engines of the model service that the partner may use, without draining ones.
   virtual std::vector<EngineCandidate> EnginesFor(const PartnerName& partner,
                                                   const std::string& service) = 0;
-  /// @return tool or application back ends of the service, leaving ones left out.
+  /// @return the tool or application back ends of the service, without draining ones.
   virtual std::vector<clients::Backend> ServicesFor(const PartnerName& partner,
                                                     clients::BackendKind kind,
                                                     const std::string& service) = 0;
--- a/src/gateway/caller_api.cc
+++ b/src/gateway/caller_api.cc
@@ -56,8 +56,8 @@
   return {{"program_id", program.id.value}, {"turns", std::move(turns)}};
 }
 
-http::Response LedgerUnreachable(LedgerAnswer::Status status) {
-  bool certain = status == LedgerAnswer::Status::kNotProposed;
+http::Response LedgerUnreachable(LedgerResult::Status status) {
+  bool certain = status == LedgerResult::Status::kNotProposed;
   return Problem(503, "the program's ledger can't be reached",
                  certain ? CallState::kNotRun : CallState::kUnknown, kRetrySoonSeconds);
 }
@@ -204,11 +204,11 @@
 
 void CallerApi::SendCreate(const Exchange& exchange, ledger::CreateProgram command) {
   ProgramId program = command.program;
-  host_.AskLedger(
+  host_.SendLedgerRequest(
       host_.GroupOf(program), ledger::Operation(std::move(command)),
       exchange.now + options_.ledger_patience,
-      [responder = exchange.responder, program](const LedgerAnswer& answer) {
-        if (answer.status != LedgerAnswer::Status::kAnswered) {
+      [responder = exchange.responder, program](const LedgerResult& answer) {
+        if (answer.status != LedgerResult::Status::kAnswered) {
           responder->Send(LedgerUnreachable(answer.status));
           return;
         }
@@ -247,12 +247,12 @@
 
 void CallerApi::EndProgram(const Exchange& exchange) {
   WithProgram(exchange, exchange.program, [this, exchange](const ledger::ProgramRecord& program) {
-    host_.AskLedger(
+    host_.SendLedgerRequest(
         host_.GroupOf(program.id),
         ledger::Operation(ledger::EndProgram{program.id, "ended by the caller"}),
         exchange.now + options_.ledger_patience,
-        [responder = exchange.responder, id = program.id](const LedgerAnswer& answer) {
-          if (answer.status != LedgerAnswer::Status::kAnswered) {
+        [responder = exchange.responder, id = program.id](const LedgerResult& answer) {
+          if (answer.status != LedgerResult::Status::kAnswered) {
             responder->Send(LedgerUnreachable(answer.status));
             return;
           }
@@ -263,21 +263,21 @@
 
 void CallerApi::WithProgram(const Exchange& exchange, const ProgramId& program,
                             ProgramCallback then) {
-  host_.AskLedger(host_.GroupOf(program), ledger::ReadProgram{program},
-                  exchange.now + options_.ledger_patience,
-                  [responder = exchange.responder, partner = exchange.partner,
-                   then = std::move(then)](const LedgerAnswer& answer) {
-                    if (answer.status != LedgerAnswer::Status::kAnswered) {
-                      responder->Send(LedgerUnreachable(answer.status));
-                      return;
-                    }
-                    const auto& found = answer.reply.program;
-                    if (!found || found->partner != partner) {
-                      responder->Send(Problem(404, "no such program", CallState::kNotRun));
-                      return;
-                    }
-                    then(*found);
-                  });
+  host_.SendLedgerRequest(host_.GroupOf(program), ledger::ReadProgram{program},
+                          exchange.now + options_.ledger_patience,
+                          [responder = exchange.responder, partner = exchange.partner,
+                           then = std::move(then)](const LedgerResult& answer) {
+                            if (answer.status != LedgerResult::Status::kAnswered) {
+                              responder->Send(LedgerUnreachable(answer.status));
+                              return;
+                            }
+                            const auto& found = answer.reply.program;
+                            if (!found || found->partner != partner) {
+                              responder->Send(Problem(404, "no such program", CallState::kNotRun));
+                              return;
+                            }
+                            then(*found);
+                          });
 }
 
 }  // namespace martenyard::gateway
--- a/src/gateway/ledger_router.cc
+++ b/src/gateway/ledger_router.cc
@@ -6,7 +6,7 @@
 namespace martenyard::gateway {
 
 LedgerRouter::LedgerRouter(const RouterOptions& options, std::uint64_t seed, absl::Time now)
-    : options_(options), random_(seed), now_(now), last_id_(random_.NextId() >> 8U) {}
+    : options_(options), random_(seed), now_(now), last_request_id_(random_.NextId() >> 8U) {}
 
 void LedgerRouter::SetReplicas(GroupId group, std::vector<NodeId> replicas) {
   Group& known = groups_[group];
@@ -26,17 +26,17 @@
   return found == groups_.end() ? kNoNode : found->second.leader;
 }
 
-void LedgerRouter::Ask(GroupId group, ledger::RequestBody body, absl::Time deadline,
-                       LedgerCallback on_answer) {
-  std::uint64_t id = ++last_id_;
-  Pending& pending = pending_[id];
+void LedgerRouter::Submit(GroupId group, ledger::RequestBody body, absl::Time deadline,
+                          LedgerCallback on_result) {
+  std::uint64_t id = ++last_request_id_;
+  PendingRequest& pending = pending_[id];
   pending.request = {id, group, std::move(body)};
   pending.deadline = deadline;
-  pending.on_answer = std::move(on_answer);
+  pending.on_result = std::move(on_result);
   Send(pending);
 }
 
-void LedgerRouter::Send(Pending& pending) {
+void LedgerRouter::Send(PendingRequest& pending) {
   Group& group = groups_[pending.request.group];
   if (group.replicas.empty()) {
     RetryLater(pending);
@@ -44,20 +44,20 @@
   }
   NodeId target = group.leader;
   if (target == kNoNode) {
-    target = group.replicas[group.next % group.replicas.size()];
-    ++group.next;
+    target = group.replicas[group.next_replica % group.replicas.size()];
+    ++group.next_replica;
   }
-  pending.asked = target;
+  pending.sent_to = target;
   pending.waiting_for_reply = true;
   pending.resend_at = now_ + options_.reply_timeout;
   outgoing_.push_back({target, pending.request});
 }
 
-void LedgerRouter::RetryLater(Pending& pending) {
+void LedgerRouter::RetryLater(PendingRequest& pending) {
   pending.waiting_for_reply = false;
   absl::Duration backoff = std::min(
-      options_.backoff_cap, options_.backoff * (std::int64_t{1} << std::min(pending.tries, 8)));
-  ++pending.tries;
+      options_.max_backoff, options_.backoff * (std::int64_t{1} << std::min(pending.attempts, 8)));
+  ++pending.attempts;
   pending.resend_at = now_ + backoff * (0.5 + 0.5 * random_.Uniform());
 }
 
@@ -65,39 +65,39 @@
   now_ = std::max(now_, now);
   auto found = pending_.find(reply.request_id);
   if (found == pending_.end()) {
-    return;  // A repeated or late answer.
+    return;  // A duplicate or late reply.
   }
-  Pending& pending = found->second;
+  PendingRequest& pending = found->second;
   Group& group = groups_[reply.group];
   if (reply.status == ledger::ReplyStatus::kAnswered) {
     group.leader = from;
-    group.leader_heard = now_;
-    LedgerCallback on_answer = std::move(pending.on_answer);
+    group.last_leader_reply = now_;
+    LedgerCallback on_result = std::move(pending.on_result);
     pending_.erase(found);
-    on_answer({LedgerAnswer::Status::kAnswered, reply});
+    on_result({LedgerResult::Status::kAnswered, reply});
     return;
   }
   if (reply.status == ledger::ReplyStatus::kUncertain) {
     pending.maybe_proposed = true;
   }
-  if (pending.asked != from) {
-    return;  // Another replica has been asked meanwhile.
+  if (pending.sent_to != from) {
+    return;  // The request was sent to another replica since.
   }
   if (reply.status == ledger::ReplyStatus::kOverloaded) {
     RetryLater(pending);
     return;
   }
-  bool news = reply.leader != kNoNode && reply.leader != from && reply.leader != group.leader;
+  bool redirected = reply.leader != kNoNode && reply.leader != from && reply.leader != group.leader;
   group.leader = reply.leader == from ? kNoNode : reply.leader;
-  if (news && pending.tries < 2) {
-    ++pending.tries;
+  if (redirected && pending.attempts < 2) {
+    ++pending.attempts;
     Send(pending);
   } else {
     RetryLater(pending);
   }
 }
 
-void LedgerRouter::OnMemberGone(absl::Time now, NodeId member) {
+void LedgerRouter::OnMemberRemoved(absl::Time now, NodeId member) {
   now_ = std::max(now_, now);
   for (auto& [id, group] : groups_) {
     if (group.leader == member) {
@@ -105,7 +105,7 @@
     }
   }
   for (auto& [id, pending] : pending_) {
-    if (pending.waiting_for_reply && pending.asked == member) {
+    if (pending.waiting_for_reply && pending.sent_to == member) {
       pending.maybe_proposed = true;
       RetryLater(pending);
     }
@@ -124,7 +124,7 @@
       continue;
     }
     if (pending.waiting_for_reply) {
-      OnSilence(pending);
+      OnReplyTimeout(pending);
     }
     Send(pending);
   }
@@ -133,12 +133,12 @@
   }
 }
 
-void LedgerRouter::OnSilence(Pending& pending) {
+void LedgerRouter::OnReplyTimeout(PendingRequest& pending) {
   pending.maybe_proposed = true;
   Group& group = groups_[pending.request.group];
-  // A leader that answers others lets this call wait for its turn; it is asked again.
-  bool alive = now_ - group.leader_heard < options_.reply_timeout * 2;
-  if (group.leader == pending.asked && !alive) {
+  // A leader that replies to other requests is alive and has queued this one; it is sent again.
+  bool leader_alive = now_ - group.last_leader_reply < options_.reply_timeout * 2;
+  if (group.leader == pending.sent_to && !leader_alive) {
     group.leader = kNoNode;
   }
 }
@@ -148,15 +148,15 @@
   if (node.empty()) {
     return;
   }
-  Pending& pending = node.mapped();
+  PendingRequest& pending = node.mapped();
   bool uncertain = pending.maybe_proposed || pending.waiting_for_reply;
-  LedgerAnswer answer;
-  answer.status = uncertain ? LedgerAnswer::Status::kUncertain : LedgerAnswer::Status::kNotProposed;
-  pending.on_answer(answer);
+  LedgerResult result;
+  result.status = uncertain ? LedgerResult::Status::kUncertain : LedgerResult::Status::kNotProposed;
+  pending.on_result(result);
 }
 
-std::vector<LedgerRequestTo> LedgerRouter::TakeRequests() {
-  std::vector<LedgerRequestTo> taken = std::move(outgoing_);
+std::vector<OutgoingLedgerRequest> LedgerRouter::TakeRequests() {
+  std::vector<OutgoingLedgerRequest> taken = std::move(outgoing_);
   outgoing_.clear();
   return taken;
 }
--- a/src/gateway/ledger_router.h
+++ b/src/gateway/ledger_router.h
@@ -1,5 +1,5 @@
-// Brings requests to the leaders of the groups: finds them, follows them, repeats what got lost.
-// Decision code only.
+// Routes requests to the leaders of ledger groups: discovers leaders, follows them as they change
+// and resends lost requests. Decision logic only, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,62 +14,63 @@
 
 namespace martenyard::gateway {
 
-struct LedgerRequestTo {
+struct OutgoingLedgerRequest {
   NodeId to;
   ledger::LedgerRequest request;
 };
 
 struct RouterOptions {
-  absl::Duration reply_timeout = absl::Milliseconds(400);  ///< Then the next replica is asked.
-  absl::Duration backoff = absl::Milliseconds(25);         ///< Between tries; doubled, jittered.
-  absl::Duration backoff_cap = absl::Milliseconds(400);
+  absl::Duration reply_timeout = absl::Milliseconds(400);  ///< Then the request is resent.
+  absl::Duration backoff = absl::Milliseconds(25);         ///< Doubles per attempt, with jitter.
+  absl::Duration max_backoff = absl::Milliseconds(400);
 };
 
 class LedgerRouter {
  public:
   LedgerRouter(const RouterOptions& options, std::uint64_t seed, absl::Time now);
 
-  /// Sets who replicates a group, from the directory.
+  /// Sets the replicas of a group, as the directory lists them.
   void SetReplicas(GroupId group, std::vector<NodeId> replicas);
-  void Ask(GroupId group, ledger::RequestBody body, absl::Time deadline, LedgerCallback on_answer);
+  void Submit(GroupId group, ledger::RequestBody body, absl::Time deadline,
+              LedgerCallback on_result);
   void OnReply(absl::Time now, NodeId from, const ledger::LedgerReply& reply);
-  /// The member is gone: what was asked of it is asked elsewhere at once.
-  void OnMemberGone(absl::Time now, NodeId member);
+  /// The member left or failed: requests that wait for its reply are retried elsewhere.
+  void OnMemberRemoved(absl::Time now, NodeId member);
   void Tick(absl::Time now);
-  std::vector<LedgerRequestTo> TakeRequests();
-  /// @return the replica believed to lead, or kNoNode.
+  std::vector<OutgoingLedgerRequest> TakeRequests();
+  /// @return the presumed leader, or kNoNode.
   NodeId LeaderOf(GroupId group) const;
 
  private:
   struct Group {
     std::vector<NodeId> replicas;
     NodeId leader;
-    absl::Time leader_heard = absl::InfinitePast();
-    std::size_t next = 0;  // Which replica to try when the leader is not known.
+    absl::Time last_leader_reply = absl::InfinitePast();
+    std::size_t next_replica = 0;  // Replica to try while the leader is unknown.
   };
-  struct Pending {
+  struct PendingRequest {
     ledger::LedgerRequest request;
     absl::Time deadline;
-    LedgerCallback on_answer;
-    NodeId asked;
+    LedgerCallback on_result;
+    NodeId sent_to;
     absl::Time resend_at;
-    int tries = 0;
+    int attempts = 0;
     bool maybe_proposed = false;
     bool waiting_for_reply = false;
   };
 
-  void Send(Pending& pending);
-  void OnSilence(Pending& pending);
-  void RetryLater(Pending& pending);
+  void Send(PendingRequest& pending);
+  void OnReplyTimeout(PendingRequest& pending);
+  void RetryLater(PendingRequest& pending);
   void Expire(std::uint64_t id);
 
   RouterOptions options_;
   Random random_;
   absl::Time now_;
-  std::uint64_t last_id_;
+  std::uint64_t last_request_id_;
   std::map<GroupId, Group> groups_;
-  std::map<std::uint64_t, Pending> pending_;
-  std::vector<LedgerRequestTo> outgoing_;
+  std::map<std::uint64_t, PendingRequest> pending_;
+  std::vector<OutgoingLedgerRequest> outgoing_;
 };
 
 }  // namespace martenyard::gateway
--- a/tests/gateway/call_coordinator_test.cc
+++ b/tests/gateway/call_coordinator_test.cc
@@ -1,11 +1,5 @@
-// What one dispatch of a call leaves behind must not be told of another one, nor of the whole call.
-//
-// Symptoms: an answer that two engines made was charged the last one's tokens only; a call that ran
-// out of time was told the failure of an engine that it had left long before.
-// Sequences and causes: the usage of the engine that finished was taken for the whole text's. The
-// reason of one dispatch's failure stayed for the next one's end.
-// What settled it: the `FinishCall` that the ledger was asked to store, 11 tokens for a turn of 10
-// and a text of 5, and the title told.
+// Guards against charging a call that several engines ran for the last one's tokens only, and
+// against reporting an earlier dispatch's failure as the reason why a later one ended.
 #include "gateway/call_coordinator.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +21,7 @@
 using ledger::Tokens;
 using nlohmann::json;
 
-/// One run that an engine was asked for.
+/// One model run that was started at an engine.
 struct Run {
   clients::ModelRequest request;
   std::function<void(std::string)> on_text;
@@ -70,16 +64,17 @@
   NodeId Self() const override { return NodeId(1); }
   absl::Time Now() const override { return now; }
   GroupId GroupOf(const ProgramId&) const override { return GroupId(0); }
-  void AskLedger(GroupId, ledger::RequestBody body, absl::Time, LedgerCallback callback) override {
+  void SendLedgerRequest(GroupId, ledger::RequestBody body, absl::Time,
+                         LedgerCallback callback) override {
     if (auto* operation = std::get_if<ledger::Operation>(&body)) {
       if (auto* finish = std::get_if<ledger::FinishCall>(operation)) {
         finished = *finish;
       }
-      on_answer = std::move(callback);
+      on_result = std::move(callback);
     }
   }
-  void SendPermitRequests(const std::vector<dispatch::PermitAsk>& wishes) override {
-    asks = wishes;
+  void SendPermitRequests(const std::vector<dispatch::PermitAsk>& requests) override {
+    permit_requests = requests;
   }
   void SendPermitRelease(const dispatch::PermitRelease&) override {}
   std::vector<EngineCandidate> EnginesFor(const PartnerName&, const std::string&) override {
@@ -95,21 +90,21 @@
   absl::Time now = absl::UnixEpoch();
   std::vector<EngineCandidate> engines;
   FakeBackends backends;
-  std::vector<dispatch::PermitAsk> asks;
-  LedgerCallback on_answer;  // Of the newest operation.
+  std::vector<dispatch::PermitAsk> permit_requests;
+  LedgerCallback on_result;  // Of the latest operation.
   std::optional<ledger::FinishCall> finished;
 };
 
-struct Told : public CallSink {
+struct RecordingSink : public CallSink {
   void OnText(const std::string& piece) override { text += piece; }
-  void OnEnd(const CallEnd& told) override { end = told; }
+  void OnEnd(const CallEnd& call_end) override { end = call_end; }
   std::string text;
   std::optional<CallEnd> end;
 };
 
 constexpr Tokens kTurnTokens = 10;
 
-/// One model call whose ledger, dispatcher and engines the test plays.
+/// Runs one model call; the test plays its ledger, dispatcher and engines.
 class CallCoordinatorTest : public ::testing::Test {
  protected:
   void Start() {
@@ -121,21 +116,21 @@
     spec.turn_tokens = kTurnTokens;
     spec.max_tokens = 1000;
     spec.deadline = host_.now + absl::Seconds(2);
-    coordinator_->Start(spec, told_);
+    coordinator_->Start(spec, sink_);
   }
 
-  /// Another world for the next row of a table.
+  /// Recreates the fixture for the next case.
   void Reset() {
     coordinator_.reset();
     host_ = FakeHost();
     coordinator_ = std::make_unique<CallCoordinator>(host_, CoordinatorOptions{}, 1);
-    told_ = std::make_shared<Told>();
+    sink_ = std::make_shared<RecordingSink>();
   }
 
-  /// The ledger's answer to the newest operation.
-  void Answer(CallState state, std::uint32_t attempt) {
-    LedgerAnswer answer;
-    answer.status = LedgerAnswer::Status::kAnswered;
+  /// Replies to the latest ledger operation.
+  void ReplyFromLedger(CallState state, std::uint32_t attempt) {
+    LedgerResult ledger_result;
+    ledger_result.status = LedgerResult::Status::kAnswered;
     ledger::CallRecord record;
     record.key = CallKey("k");
     record.state = state;
@@ -143,22 +138,22 @@
     if (host_.finished) {
       record.result = host_.finished->result;
     }
-    answer.reply.result.call = record;
-    LedgerCallback callback = std::move(host_.on_answer);
-    callback(answer);
+    ledger_result.reply.result.call = record;
+    LedgerCallback callback = std::move(host_.on_result);
+    callback(ledger_result);
   }
 
-  void Permit(dispatch::PermitVerdict verdict) {
-    ASSERT_EQ(host_.asks.size(), 1U);
-    dispatch::PermitAsk ask = host_.asks[0];
-    coordinator_->OnPermitUpdate({{{ask.grant, ask.engine, verdict}}, {}});
+  void ReplyFromDispatcher(dispatch::PermitVerdict verdict) {
+    ASSERT_EQ(host_.permit_requests.size(), 1U);
+    dispatch::PermitAsk request = host_.permit_requests[0];
+    coordinator_->OnPermitUpdate({{{request.grant, request.engine, verdict}}, {}});
   }
 
-  /// Begins an attempt that is placed at an engine.
+  /// Starts an attempt that gets a permit for an engine.
   void Begin(std::uint32_t attempt) {
     Start();
-    Answer(CallState::kRunning, attempt);
-    Permit(dispatch::PermitVerdict::kGranted);
+    ReplyFromLedger(CallState::kRunning, attempt);
+    ReplyFromDispatcher(dispatch::PermitVerdict::kGranted);
   }
 
   void EndRun(ModelOutcome::Status status, Tokens completion_tokens = 0) {
@@ -169,7 +164,7 @@
     host_.backends.runs.back().on_done(outcome);
   }
 
-  void Pass(absl::Duration time) {
+  void AdvanceTime(absl::Duration time) {
     host_.now += time;
     coordinator_->Tick();
   }
@@ -177,13 +172,13 @@
   FakeHost host_;
   std::unique_ptr<CallCoordinator> coordinator_ =
       std::make_unique<CallCoordinator>(host_, CoordinatorOptions{}, 1);
-  std::shared_ptr<Told> told_ = std::make_shared<Told>();
+  std::shared_ptr<RecordingSink> sink_ = std::make_shared<RecordingSink>();
 };
 
-TEST_F(CallCoordinatorTest, AnswerIsChargedForAllTheRunsThatMadeIt) {
+TEST_F(CallCoordinatorTest, ResultIsChargedForAllEngineRuns) {
   struct Case {
     const char* name;
-    std::string first_text;  // Of a run that breaks; empty: there is none.
+    std::string first_text;  // Of a run that breaks off; empty if there is none.
     std::string last_text;
     Tokens reported;  // By the run that finishes.
     Tokens charged;   // For the generated text.
@@ -202,7 +197,7 @@
     if (!test.first_text.empty()) {
       host_.backends.runs.back().on_text(test.first_text);
       EndRun(ModelOutcome::Status::kBroken);
-      Permit(dispatch::PermitVerdict::kGranted);
+      ReplyFromDispatcher(dispatch::PermitVerdict::kGranted);
       EXPECT_EQ(host_.backends.runs.back().request.resume_text, test.first_text);
     }
     host_.backends.runs.back().on_text(test.last_text);
@@ -212,37 +207,37 @@
     json result = json::parse(host_.finished->result);
     EXPECT_EQ(result["message"]["content"], test.first_text + test.last_text);
     EXPECT_EQ(result["usage"]["completion_tokens"], test.charged);
-    EXPECT_EQ(told_->text, test.first_text + test.last_text);
+    EXPECT_EQ(sink_->text, test.first_text + test.last_text);
   }
 }
 
-TEST_F(CallCoordinatorTest, FailureOfAnEarlierDispatchIsNotToldOfALaterOne) {
+TEST_F(CallCoordinatorTest, FailureOfAnEarlierDispatchIsNotReportedForALaterOne) {
   Begin(1);
   EndRun(ModelOutcome::Status::kRefused);
-  Permit(dispatch::PermitVerdict::kGranted);
-  Pass(absl::Seconds(2));  // While the second engine works.
+  ReplyFromDispatcher(dispatch::PermitVerdict::kGranted);
+  AdvanceTime(absl::Seconds(2));  // While the second engine runs.
   EXPECT_TRUE(host_.backends.runs.back().cancelled);
   ASSERT_TRUE(host_.finished);
-  Answer(CallState::kUnknown, 1);
-  ASSERT_TRUE(told_->end);
-  EXPECT_EQ(told_->end->title, "the deadline passed");
+  ReplyFromLedger(CallState::kUnknown, 1);
+  ASSERT_TRUE(sink_->end);
+  EXPECT_EQ(sink_->end->title, "the deadline passed");
 }
 
 TEST_F(CallCoordinatorTest, CallerThatJoinsLateGetsTheTextOfAllRunsOnce) {
   Begin(1);
   host_.backends.runs.back().on_text("one ");
   EndRun(ModelOutcome::Status::kBroken);
-  Permit(dispatch::PermitVerdict::kGranted);
+  ReplyFromDispatcher(dispatch::PermitVerdict::kGranted);
   host_.backends.runs.back().on_text("two ");
-  std::shared_ptr<Told> first = std::exchange(told_, std::make_shared<Told>());
+  std::shared_ptr<RecordingSink> first = std::exchange(sink_, std::make_shared<RecordingSink>());
   Start();
   host_.backends.runs.back().on_text("three");
   EndRun(ModelOutcome::Status::kFinished, 3);
-  Answer(CallState::kRan, 1);
+  ReplyFromLedger(CallState::kRan, 1);
   EXPECT_EQ(first->text, "one two three");
-  EXPECT_EQ(told_->text, "one two three");
-  ASSERT_TRUE(first->end && told_->end);
-  EXPECT_EQ(told_->end->outcome, CallState::kRan);
+  EXPECT_EQ(sink_->text, "one two three");
+  ASSERT_TRUE(first->end && sink_->end);
+  EXPECT_EQ(sink_->end->outcome, CallState::kRan);
 }
 
 }  // namespace
--- a/tests/proofs/promises_test.cc
+++ b/tests/proofs/promises_test.cc
@@ -683,10 +683,10 @@
   old.key = CallKey("old");
   old.epoch = 1;
   std::optional<Verdict> verdict;
-  world().node(1)->AskLedger(
+  world().node(1)->SendLedgerRequest(
       world().node(1)->GroupOf(kProgram), ledger::Operation(old),
       world().queue().now() + absl::Seconds(5),
-      [&](const gateway::LedgerAnswer& answer) { verdict = answer.reply.result.verdict; });
+      [&](const gateway::LedgerResult& answer) { verdict = answer.reply.result.verdict; });
   ASSERT_TRUE(world().RunUntil([&] { return verdict.has_value(); }, absl::Seconds(5)));
   EXPECT_EQ(*verdict, Verdict::kStaleEpoch);
 }
--- a/tests/proofs/random_faults_test.cc
+++ b/tests/proofs/random_faults_test.cc
@@ -71,12 +71,13 @@
   void StartRead(std::size_t gateway) {
     daemon::Node* node = proof_.world().node(gateway);
     absl::Time began = Now();
-    node->AskLedger(node->GroupOf(program_), ledger::ReadProgram{program_},
-                    began + absl::Seconds(5), [this, began](const gateway::LedgerAnswer& answer) {
-                      if (answer.reply.program) {
-                        JudgeRead(began, *answer.reply.program);
-                      }
-                    });
+    node->SendLedgerRequest(node->GroupOf(program_), ledger::ReadProgram{program_},
+                            began + absl::Seconds(5),
+                            [this, began](const gateway::LedgerResult& answer) {
+                              if (answer.reply.program) {
+                                JudgeRead(began, *answer.reply.program);
+                              }
+                            });
     proof_.world().Settle(gateway);
   }
 
--- a/tests/support/proof_world.cc
+++ b/tests/support/proof_world.cc
@@ -117,12 +117,13 @@
                                                ledger::Operation operation) {
   daemon::Node* node = world_.node(gateway);
   auto verdict = std::make_shared<std::optional<ledger::Verdict>>();
-  node->AskLedger(node->GroupOf(program), std::move(operation), world_.queue().now() + kPatience,
-                  [verdict](const gateway::LedgerAnswer& answer) {
-                    if (answer.status == gateway::LedgerAnswer::Status::kAnswered) {
-                      *verdict = answer.reply.result.verdict;
-                    }
-                  });
+  node->SendLedgerRequest(node->GroupOf(program), std::move(operation),
+                          world_.queue().now() + kPatience,
+                          [verdict](const gateway::LedgerResult& answer) {
+                            if (answer.status == gateway::LedgerResult::Status::kAnswered) {
+                              *verdict = answer.reply.result.verdict;
+                            }
+                          });
   world_.RunUntil([&] { return verdict->has_value(); }, kPatience);
   return *verdict;
 }
@@ -195,12 +196,12 @@
   daemon::Node* node = world_.node(*gateway);
   auto record = std::make_shared<std::optional<ledger::ProgramRecord>>();
   auto done = std::make_shared<bool>(false);
-  node->AskLedger(node->GroupOf(program), ledger::ReadProgram{program},
-                  world_.queue().now() + kPatience,
-                  [record, done](const gateway::LedgerAnswer& answer) {
-                    *done = true;
-                    *record = answer.reply.program;
-                  });
+  node->SendLedgerRequest(node->GroupOf(program), ledger::ReadProgram{program},
+                          world_.queue().now() + kPatience,
+                          [record, done](const gateway::LedgerResult& answer) {
+                            *done = true;
+                            *record = answer.reply.program;
+                          });
   world_.RunUntil([&] { return *done; }, kPatience);
   return *record;
 }
