--- a/src/gateway/call_request.cc
+++ b/src/gateway/call_request.cc
@@ -14,10 +14,10 @@
 using nlohmann::json;
 
 constexpr std::int64_t kDefaultMaxTokens = 512;
-constexpr std::int64_t kMostMaxTokens = 1000000;
-constexpr std::int64_t kMostDeadlineMs = std::int64_t{24} * 3600 * 1000;
+constexpr std::int64_t kMaxTokensLimit = 1000000;
+constexpr std::int64_t kMaxDeadlineMs = std::int64_t{24} * 3600 * 1000;
 
-CallRequest Bad(int status, const std::string& problem) {
+CallRequest Invalid(int status, const std::string& problem) {
   CallRequest request;
   request.status = status;
   request.problem = problem;
@@ -41,11 +41,12 @@
   return std::nullopt;
 }
 
-std::string UnknownKey(const json& body) {
-  static const std::set<std::string> kKnown = {"kind",   "service",    "messages",   "arguments",
-                                               "stream", "max_tokens", "repeatable", "deadline_ms"};
+std::string FirstUnknownField(const json& body) {
+  static const std::set<std::string> kKnownFields = {"kind",       "service",    "messages",
+                                                     "arguments",  "stream",     "max_tokens",
+                                                     "repeatable", "deadline_ms"};
   for (const auto& [key, value] : body.items()) {
-    if (!kKnown.contains(key)) {
+    if (!kKnownFields.contains(key)) {
       return key;
     }
   }
@@ -57,23 +58,24 @@
     return false;
   }
   for (const json& message : messages) {
-    bool good = message.is_object() && message.contains("role") && message["role"].is_string() &&
-                message.contains("content") && message["content"].is_string();
-    if (!good) {
+    bool valid = message.is_object() && message.contains("role") && message["role"].is_string() &&
+                 message.contains("content") && message["content"].is_string();
+    if (!valid) {
       return false;
     }
   }
   return true;
 }
 
-/// Reads an optional whole number. @return false if it is of another type or out of range.
-bool ReadCount(const json& body, const char* key, std::int64_t most, std::int64_t* value) {
+/// Reads an optional integer from 1 to `max_value`. @return false if it is of another type or out
+/// of range.
+bool ReadInteger(const json& body, const char* key, std::int64_t max_value, std::int64_t* value) {
   auto found = body.find(key);
   if (found == body.end()) {
     return true;
   }
   if (!found->is_number_integer() || found->get<std::int64_t>() < 1 ||
-      found->get<std::int64_t>() > most) {
+      found->get<std::int64_t>() > max_value) {
     return false;
   }
   *value = found->get<std::int64_t>();
@@ -92,19 +94,20 @@
   return true;
 }
 
-/// The new turn: messages of a model call, arguments of any other. @return what is wrong, if any.
+/// Reads the new turn: the messages of a model call, the arguments of any other.
+/// @return the problem, empty if there is none.
 std::string ReadTurn(const json& body, CallSpec& spec) {
   if (spec.kind == CallKind::kModel) {
     if (!body.contains("messages") || !IsMessageList(body["messages"]) ||
         body.contains("arguments")) {
-      return "a model call needs 'messages', a list of objects with texts 'role' and 'content'";
+      return "a model call needs 'messages', a list of objects with strings 'role' and 'content'";
     }
     spec.turn = body["messages"].dump();
     spec.turn_tokens = EstimateTokens(spec.turn);
     return "";
   }
   if (body.contains("messages")) {
-    return "'messages' belong to model calls; tools and applications take 'arguments'";
+    return "'messages' is for model calls only; tools and applications take 'arguments'";
   }
   spec.turn = body.value("arguments", json::object()).dump();
   return "";
@@ -118,49 +121,49 @@
   spec.program = context.program;
   spec.key = CallKey(request.Header("idempotency-key"));
   if (spec.key.value.empty()) {
-    return Bad(400, "the header Idempotency-Key is required");
+    return Invalid(400, "the header Idempotency-Key is required");
   }
   if (!IsIdentifier(spec.key.value)) {
-    return Bad(400, "Idempotency-Key must be 1 to 128 letters, digits or ._:-");
+    return Invalid(400, "Idempotency-Key must be 1 to 128 letters, digits or ._:-");
   }
   json body = json::parse(request.body, nullptr, /*allow_exceptions=*/false);
   if (!body.is_object()) {
-    return Bad(400, "the body must be a JSON object");
+    return Invalid(400, "the body must be a JSON object");
   }
-  std::string unknown = UnknownKey(body);
+  std::string unknown = FirstUnknownField(body);
   if (!unknown.empty()) {
-    return Bad(400, "unknown field '" + unknown + "'");
+    return Invalid(400, "unknown field '" + unknown + "'");
   }
   std::optional<CallKind> kind = ReadKind(body);
   if (!kind) {
-    return Bad(400, "'kind' must be \"model\", \"tool\" or \"application\"");
+    return Invalid(400, "'kind' must be \"model\", \"tool\" or \"application\"");
   }
   spec.kind = *kind;
   if (!body.contains("service") || !body["service"].is_string()) {
-    return Bad(400, "'service' is required, a text");
+    return Invalid(400, "'service' is required and must be a string");
   }
   spec.service = body["service"].get<std::string>();
   std::string turn_problem = ReadTurn(body, spec);
   if (!turn_problem.empty()) {
-    return Bad(400, turn_problem);
+    return Invalid(400, turn_problem);
   }
   CallRequest result;
-  // Asking a model twice changes nothing in the world; a tool or application may.
+  // Model calls have no side effects; those of tools and applications may.
   spec.repeatable = spec.kind == CallKind::kModel;
   if (!ReadFlag(body, "repeatable", &spec.repeatable) ||
       !ReadFlag(body, "stream", &result.stream)) {
-    return Bad(400, "'repeatable' and 'stream' must be true or false");
+    return Invalid(400, "'repeatable' and 'stream' must be true or false");
   }
   std::int64_t max_tokens = kDefaultMaxTokens;
-  if (!ReadCount(body, "max_tokens", kMostMaxTokens, &max_tokens)) {
-    return Bad(400,
-               "'max_tokens' must be a whole number from 1 to " + std::to_string(kMostMaxTokens));
+  if (!ReadInteger(body, "max_tokens", kMaxTokensLimit, &max_tokens)) {
+    return Invalid(400,
+                   "'max_tokens' must be an integer from 1 to " + std::to_string(kMaxTokensLimit));
   }
   spec.max_tokens = spec.kind == CallKind::kModel ? max_tokens : 0;
   std::int64_t deadline_ms = absl::ToInt64Milliseconds(context.default_deadline);
-  if (!ReadCount(body, "deadline_ms", kMostDeadlineMs, &deadline_ms)) {
-    return Bad(400,
-               "'deadline_ms' must be a whole number from 1 to " + std::to_string(kMostDeadlineMs));
+  if (!ReadInteger(body, "deadline_ms", kMaxDeadlineMs, &deadline_ms)) {
+    return Invalid(400,
+                   "'deadline_ms' must be an integer from 1 to " + std::to_string(kMaxDeadlineMs));
   }
   spec.deadline = context.now + absl::Milliseconds(deadline_ms);
   spec.epoch = context.active->epoch;
--- a/src/gateway/call_request.h
+++ b/src/gateway/call_request.h
@@ -1,4 +1,4 @@
-// Checks the body of a call request and makes a CallSpec of it.
+// Validates a call request and converts it to a CallSpec.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace martenyard::gateway {
 
-/// What the checks need beside the request.
+/// What is needed to validate a request, apart from the request itself.
 struct CallRequestContext {
   PartnerName partner;
   ProgramId program;
@@ -20,7 +20,7 @@
   absl::Duration default_deadline;
 };
 
-/// A checked request, or what is wrong with it.
+/// A validated request, or the reason why it is invalid.
 struct CallRequest {
   std::optional<CallSpec> spec;
   bool stream = false;
--- a/src/gateway/call_answer.cc
+++ b/src/gateway/call_response.cc
@@ -1,4 +1,4 @@
-#include "gateway/call_answer.h"
+#include "gateway/call_response.h"
 
 #include <utility>
 
@@ -11,25 +11,25 @@
 using ledger::CallState;
 using nlohmann::json;
 
-constexpr int kRetrySoonSeconds = 1;
+constexpr int kRetryAfterSeconds = 1;
 
 http::Response EndResponse(const CallEnd& end) {
   if (end.record) {
-    return JsonResponse(200, Dump(AnswerOf(*end.record)));
+    return JsonResponse(200, DumpJson(CallResponseJson(*end.record)));
   }
   return Problem(end.status, end.title, end.outcome, end.retry_after_seconds);
 }
 
-/// Another attempt's answer was stored while this one's was streamed. The key gives it, and runs
-/// nothing.
-http::Response OtherAnswerStored() {
-  return Problem(409, "the answer that is stored is not the one that was streamed",
-                 CallState::kUnknown, kRetrySoonSeconds);
+/// Another attempt's result was stored while this one's text was streamed. A retry with the same
+/// key returns the stored result without running the call.
+http::Response StoredResultDiffers() {
+  return Problem(409, "the stored result differs from the streamed text", CallState::kUnknown,
+                 kRetryAfterSeconds);
 }
 
-class WholeSink : public CallSink {
+class BufferedSink : public CallSink {
  public:
-  explicit WholeSink(std::shared_ptr<http::Responder> responder)
+  explicit BufferedSink(std::shared_ptr<http::Responder> responder)
       : responder_(std::move(responder)) {}
   void OnText(const std::string& /*text*/) override {}
   void OnEnd(const CallEnd& end) override { responder_->Send(EndResponse(end)); }
@@ -44,76 +44,76 @@
       : responder_(std::move(responder)) {}
 
   void OnText(const std::string& text) override {
-    Open();
+    EnsureStarted();
     streamed_ += text;
-    responder_->Write(clients::FormatSseEvent("", Dump({{"text", text}})));
+    responder_->Write(clients::FormatSseEvent("", DumpJson({{"text", text}})));
   }
 
   void OnEnd(const CallEnd& end) override {
-    if (!open_ && !end.record) {
+    if (!started_ && !end.record) {
       responder_->Send(EndResponse(end));
       return;
     }
-    Open();
-    bool done = end.record && IsAnswer(*end.record);
-    http::Response response = end.record && !done ? OtherAnswerStored() : EndResponse(end);
+    EnsureStarted();
+    bool done = end.record && MatchesStreamedText(*end.record);
+    http::Response response = end.record && !done ? StoredResultDiffers() : EndResponse(end);
     responder_->Write(clients::FormatSseEvent(done ? "done" : "error", response.body));
     responder_->Finish();
   }
 
  private:
-  void Open() {
-    if (!open_) {
-      open_ = true;
+  void EnsureStarted() {
+    if (!started_) {
+      started_ = true;
       responder_->StartStream(
           200, {{"Content-Type", "text/event-stream"}, {"Cache-Control", "no-store"}});
     }
   }
 
-  /// @return true if the caller was sent the stored answer's text, or none at all.
-  bool IsAnswer(const ledger::CallRecord& record) const {
+  /// @return true if the caller was sent the text of the stored result, or no text at all.
+  bool MatchesStreamedText(const ledger::CallRecord& record) const {
     if (streamed_.empty()) {
       return true;
     }
-    json result = ParsedOrNull(record.result);
+    json result = ParseOrNull(record.result);
     const auto content = json::json_pointer("/message/content");
     return result.is_object() && result.contains(content) && result[content] == streamed_;
   }
 
   std::shared_ptr<http::Responder> responder_;
   std::string streamed_;
-  bool open_ = false;
+  bool started_ = false;
 };
 
 }  // namespace
 
-std::string Dump(const json& value) {
+std::string DumpJson(const json& value) {
   return value.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-json ParsedOrNull(const std::string& text) {
+json ParseOrNull(const std::string& text) {
   json value = json::parse(text, nullptr, /*allow_exceptions=*/false);
   return value.is_discarded() ? json() : value;
 }
 
-json AnswerOf(const ledger::CallRecord& call) {
-  json answer = {{"call_id", call.key.value},
-                 {"sequence", call.sequence},
-                 {"outcome", OutcomeName(call.state)}};
+json CallResponseJson(const ledger::CallRecord& call) {
+  json response = {{"call_id", call.key.value},
+                   {"sequence", call.sequence},
+                   {"outcome", OutcomeName(call.state)}};
   if (call.state != CallState::kRan) {
-    return answer;
+    return response;
   }
-  json result = ParsedOrNull(call.result);
+  json result = ParseOrNull(call.result);
   if (call.kind == ledger::CallKind::kModel && result.is_object()) {
-    answer.update(result);
+    response.update(result);
   } else {
-    answer["result"] = std::move(result);
+    response["result"] = std::move(result);
   }
-  return answer;
+  return response;
 }
 
-std::shared_ptr<CallSink> CreateWholeSink(std::shared_ptr<http::Responder> responder) {
-  return std::make_shared<WholeSink>(std::move(responder));
+std::shared_ptr<CallSink> CreateBufferedSink(std::shared_ptr<http::Responder> responder) {
+  return std::make_shared<BufferedSink>(std::move(responder));
 }
 
 std::shared_ptr<CallSink> CreateStreamSink(std::shared_ptr<http::Responder> responder) {
--- a/src/gateway/call_types.h
+++ b/src/gateway/call_types.h
@@ -1,4 +1,4 @@
-// A call as the gateway sees it, and how it ends.
+// A call's validated request and how it ended.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace martenyard::gateway {
 
-/// A checked request for one call.
+/// A validated request for one call.
 struct CallSpec {
   PartnerName partner;
   ProgramId program;
@@ -28,30 +28,30 @@
   std::vector<std::string> permitted_kinds;
   std::uint64_t epoch = 0;
 
-  /// Tokens to reserve: the new turn and the most that may be generated.
+  /// @return the tokens to reserve: the new turn and the largest completion.
   ledger::Tokens Reservation() const { return turn_tokens + max_tokens; }
 };
 
-/// The final word on a call.
+/// How a call ended.
 struct CallEnd {
   /// HTTP status; 200 when `record` holds the result.
   int status = 200;
   std::string title;
-  /// Of the key, not only of this request: an earlier request with it may have run.
+  /// Of all requests with this key: an earlier one may have run.
   ledger::CallState outcome = ledger::CallState::kNotRun;
-  /// False when this very request surely started nothing, whatever earlier ones did.
+  /// False if this request started nothing, whatever earlier ones with its key did.
   bool started = true;
   std::optional<int> retry_after_seconds;
   std::optional<ledger::CallRecord> record;
 };
 
-/// Receives one call's progress. Called on the coordinator's thread.
+/// Receives the progress of one call, on the coordinator's thread.
 class CallSink {
  public:
   virtual ~CallSink() = default;
-  /// A piece of the answer of a model call, in order, none twice.
+  /// The next piece of a model call's text; pieces come in order and once.
   virtual void OnText(const std::string& text) = 0;
-  /// The call's end; nothing follows.
+  /// The last call on this sink.
   virtual void OnEnd(const CallEnd& end) = 0;
 };
 
--- a/src/gateway/caller_api.cc
+++ b/src/gateway/caller_api.cc
@@ -6,8 +6,8 @@
 
 #include "absl/strings/str_split.h"
 #include "bundle/signature.h"
-#include "gateway/call_answer.h"
 #include "gateway/call_request.h"
+#include "gateway/call_response.h"
 #include "gateway/problem.h"
 
 namespace martenyard::gateway {
@@ -16,7 +16,7 @@
 using ledger::CallState;
 using nlohmann::json;
 
-constexpr int kRetrySoonSeconds = 1;
+constexpr int kRetryAfterSeconds = 1;
 
 std::string KindName(ledger::CallKind kind) {
   switch (kind) {
@@ -48,18 +48,18 @@
 json DescribeHistory(const ledger::ProgramRecord& program) {
   json turns = json::array();
   for (const ledger::CallRecord& call : program.calls) {
-    json turn = AnswerOf(call);
+    json turn = CallResponseJson(call);
     turn["kind"] = KindName(call.kind);
-    turn["turn"] = ParsedOrNull(call.turn);
+    turn["turn"] = ParseOrNull(call.turn);
     turns.push_back(std::move(turn));
   }
   return {{"program_id", program.id.value}, {"turns", std::move(turns)}};
 }
 
 http::Response LedgerUnreachable(LedgerResult::Status status) {
-  bool certain = status == LedgerResult::Status::kNotProposed;
-  return Problem(503, "the program's ledger can't be reached",
-                 certain ? CallState::kNotRun : CallState::kUnknown, kRetrySoonSeconds);
+  bool known_not_run = status == LedgerResult::Status::kNotProposed;
+  return Problem(503, "the program's ledger is unreachable",
+                 known_not_run ? CallState::kNotRun : CallState::kUnknown, kRetryAfterSeconds);
 }
 
 }  // namespace
@@ -87,21 +87,21 @@
 bool CallerApi::Handle(absl::Time now, const http::Request& request,
                        const std::shared_ptr<http::Responder>& responder) {
   std::vector<std::string> parts = absl::StrSplit(request.path, '/', absl::SkipEmpty());
-  bool ours = parts.size() >= 2 && parts[0] == "v1" && parts[1] == "programs";
-  if (!ours) {
+  bool handled = parts.size() >= 2 && parts[0] == "v1" && parts[1] == "programs";
+  if (!handled) {
     return false;
   }
   if (bundles_.all().empty()) {
-    // This daemon has just started. A 401 would deny callers whose bundle is in force elsewhere.
+    // This daemon has just started; a 401 would be wrong for callers of bundles in force elsewhere.
     responder->Send(
-        Problem(503, "no bundle is known here yet", CallState::kUnknown, kRetrySoonSeconds));
+        Problem(503, "no bundle is known here yet", CallState::kUnknown, kRetryAfterSeconds));
     return true;
   }
   Exchange exchange{request, responder, {}, {}, now};
   const bundle::ActiveBundle* active = Authenticate(BearerToken(request), &exchange.partner);
   if (active == nullptr) {
-    responder->Send(
-        Problem(401, "the bearer token is missing or in no bundle in force", CallState::kNotRun));
+    responder->Send(Problem(401, "the bearer token is missing or not in a bundle in force",
+                            CallState::kNotRun));
     return true;
   }
   if (parts.size() > 2) {
@@ -118,31 +118,32 @@
 void CallerApi::Route(const Exchange& exchange, const bundle::ActiveBundle& active,
                       const std::vector<std::string>& parts) {
   const std::string& method = exchange.request.method;
-  std::string below = parts.size() > 3 ? parts[3] : "";
+  std::string subresource = parts.size() > 3 ? parts[3] : "";
   auto responder = exchange.responder;
   if (parts.size() == 2 && method == "POST") {
     CreateProgram(exchange, active);
   } else if (parts.size() == 3 && method == "GET") {
     WithProgram(exchange, exchange.program, [responder](const ledger::ProgramRecord& program) {
-      responder->Send(JsonResponse(200, Dump(DescribeProgram(program))));
+      responder->Send(JsonResponse(200, DumpJson(DescribeProgram(program))));
     });
   } else if (parts.size() == 3 && method == "DELETE") {
     EndProgram(exchange);
-  } else if (parts.size() == 4 && below == "history" && method == "GET") {
+  } else if (parts.size() == 4 && subresource == "history" && method == "GET") {
     WithProgram(exchange, exchange.program, [responder](const ledger::ProgramRecord& program) {
-      responder->Send(JsonResponse(200, Dump(DescribeHistory(program))));
+      responder->Send(JsonResponse(200, DumpJson(DescribeHistory(program))));
     });
-  } else if (parts.size() == 4 && below == "calls" && method == "POST") {
+  } else if (parts.size() == 4 && subresource == "calls" && method == "POST") {
     StartCall(exchange, active);
-  } else if (parts.size() == 5 && below == "calls" && method == "GET") {
+  } else if (parts.size() == 5 && subresource == "calls" && method == "GET") {
     WithProgram(exchange, exchange.program,
                 [responder, key = CallKey(parts[4])](const ledger::ProgramRecord& program) {
                   const ledger::CallRecord* call = program.Find(key);
-                  responder->Send(call == nullptr ? Problem(404, "no such call", CallState::kNotRun)
-                                                  : JsonResponse(200, Dump(AnswerOf(*call))));
+                  responder->Send(call == nullptr
+                                      ? Problem(404, "no such call", CallState::kNotRun)
+                                      : JsonResponse(200, DumpJson(CallResponseJson(*call))));
                 });
   } else {
-    responder->Send(Problem(405, "no such method on this path", CallState::kNotRun));
+    responder->Send(Problem(405, "method not allowed on this path", CallState::kNotRun));
   }
 }
 
@@ -157,13 +158,13 @@
   for (const auto& [key, value] : body.items()) {
     bool known = key == "partner" || key == "program" || key == "program_id" ||
                  key == "parent_id" || key == "deadline_ms";
-    bool typed = key == "deadline_ms" ? value.is_number_integer() : value.is_string();
-    if (!known || !typed) {
+    bool has_valid_type = key == "deadline_ms" ? value.is_number_integer() : value.is_string();
+    if (!known || !has_valid_type) {
       return refuse(400, "field '" + key + "' is unknown or of the wrong type");
     }
   }
   if (body.value("partner", "") != exchange.partner.value) {
-    return refuse(403, "the token is not one of the named partner");
+    return refuse(403, "the bearer token does not belong to the named partner");
   }
   const bundle::ProgramSpec* spec = active.bundle->FindProgram(body.value("program", ""));
   if (spec == nullptr) {
@@ -179,15 +180,15 @@
   if (command.program.value.empty()) {
     command.program = ProgramId(exchange.partner.value + "-" + std::to_string(random_.NextId()));
   }
-  bool good_ids = IsIdentifier(command.program.value) &&
-                  (command.parent.value.empty() || IsIdentifier(command.parent.value));
-  if (!good_ids) {
+  bool valid_ids = IsIdentifier(command.program.value) &&
+                   (command.parent.value.empty() || IsIdentifier(command.parent.value));
+  if (!valid_ids) {
     return refuse(400, "ids must be 1 to 128 letters, digits or ._:-");
   }
   if (body.contains("deadline_ms")) {
     std::int64_t deadline = body["deadline_ms"].get<std::int64_t>();
     if (deadline < 1) {
-      return refuse(400, "'deadline_ms' must be a positive whole number");
+      return refuse(400, "'deadline_ms' must be a positive integer");
     }
     command.limits.max_wall_ms = std::min(command.limits.max_wall_ms, deadline);
   }
@@ -206,27 +207,28 @@
   ProgramId program = command.program;
   host_.SendLedgerRequest(
       host_.GroupOf(program), ledger::Operation(std::move(command)),
-      exchange.now + options_.ledger_patience,
-      [responder = exchange.responder, program](const LedgerResult& answer) {
-        if (answer.status != LedgerResult::Status::kAnswered) {
-          responder->Send(LedgerUnreachable(answer.status));
+      exchange.now + options_.ledger_timeout,
+      [responder = exchange.responder, program](const LedgerResult& ledger_result) {
+        if (ledger_result.status != LedgerResult::Status::kAnswered) {
+          responder->Send(LedgerUnreachable(ledger_result.status));
           return;
         }
         json body = {{"program_id", program.value}};
-        switch (answer.reply.result.verdict) {
+        switch (ledger_result.reply.result.verdict) {
           case ledger::Verdict::kDone:
-            responder->Send(JsonResponse(201, Dump(body)));
+            responder->Send(JsonResponse(201, DumpJson(body)));
             break;
           case ledger::Verdict::kAlready:
-            responder->Send(JsonResponse(200, Dump(body)));
+            responder->Send(JsonResponse(200, DumpJson(body)));
             break;
           case ledger::Verdict::kProgramConflict:
-            responder->Send(
-                Problem(409, "the program id is taken by another program", CallState::kNotRun));
+            responder->Send(Problem(409, "the program id is already used by another program",
+                                    CallState::kNotRun));
             break;
           default:
-            responder->Send(Problem(503, "a newer bundle is in force and not yet known here",
-                                    CallState::kNotRun, kRetrySoonSeconds));
+            responder->Send(Problem(503,
+                                    "a newer bundle is in force and not yet known to this daemon",
+                                    CallState::kNotRun, kRetryAfterSeconds));
             break;
         }
       });
@@ -240,8 +242,8 @@
     exchange.responder->Send(Problem(request.status, request.problem, CallState::kNotRun));
     return;
   }
-  std::shared_ptr<CallSink> sink =
-      request.stream ? CreateStreamSink(exchange.responder) : CreateWholeSink(exchange.responder);
+  std::shared_ptr<CallSink> sink = request.stream ? CreateStreamSink(exchange.responder)
+                                                  : CreateBufferedSink(exchange.responder);
   coordinator_.Start(*request.spec, std::move(sink));
 }
 
@@ -250,13 +252,14 @@
     host_.SendLedgerRequest(
         host_.GroupOf(program.id),
         ledger::Operation(ledger::EndProgram{program.id, "ended by the caller"}),
-        exchange.now + options_.ledger_patience,
-        [responder = exchange.responder, id = program.id](const LedgerResult& answer) {
-          if (answer.status != LedgerResult::Status::kAnswered) {
-            responder->Send(LedgerUnreachable(answer.status));
+        exchange.now + options_.ledger_timeout,
+        [responder = exchange.responder, id = program.id](const LedgerResult& ledger_result) {
+          if (ledger_result.status != LedgerResult::Status::kAnswered) {
+            responder->Send(LedgerUnreachable(ledger_result.status));
             return;
           }
-          responder->Send(JsonResponse(200, Dump({{"program_id", id.value}, {"state", "ended"}})));
+          responder->Send(
+              JsonResponse(200, DumpJson({{"program_id", id.value}, {"state", "ended"}})));
         });
   });
 }
@@ -264,14 +267,14 @@
 void CallerApi::WithProgram(const Exchange& exchange, const ProgramId& program,
                             ProgramCallback then) {
   host_.SendLedgerRequest(host_.GroupOf(program), ledger::ReadProgram{program},
-                          exchange.now + options_.ledger_patience,
+                          exchange.now + options_.ledger_timeout,
                           [responder = exchange.responder, partner = exchange.partner,
-                           then = std::move(then)](const LedgerResult& answer) {
-                            if (answer.status != LedgerResult::Status::kAnswered) {
-                              responder->Send(LedgerUnreachable(answer.status));
+                           then = std::move(then)](const LedgerResult& ledger_result) {
+                            if (ledger_result.status != LedgerResult::Status::kAnswered) {
+                              responder->Send(LedgerUnreachable(ledger_result.status));
                               return;
                             }
-                            const auto& found = answer.reply.program;
+                            const auto& found = ledger_result.reply.program;
                             if (!found || found->partner != partner) {
                               responder->Send(Problem(404, "no such program", CallState::kNotRun));
                               return;
--- a/src/gateway/caller_api.h
+++ b/src/gateway/caller_api.h
@@ -13,7 +13,7 @@
 
 struct CallerApiOptions {
   absl::Duration default_deadline = absl::Seconds(120);
-  absl::Duration ledger_patience = absl::Seconds(5);  ///< For requests other than calls.
+  absl::Duration ledger_timeout = absl::Seconds(5);  ///< For requests other than calls.
 };
 
 /// Handles requests on the coordinator's thread.
@@ -22,12 +22,12 @@
   CallerApi(CallHost& host, CallCoordinator& coordinator, const bundle::BundleBook& bundles,
             const CallerApiOptions& options, std::uint64_t seed);
 
-  /// @return false when the path is not of this API; the request is then untouched.
+  /// @return false if the path is not part of this API; the responder is then unused.
   bool Handle(absl::Time now, const http::Request& request,
               const std::shared_ptr<http::Responder>& responder);
 
  private:
-  /// One request on its way, with what was found out about it.
+  /// One request and what was resolved for it.
   struct Exchange {
     http::Request request;
     std::shared_ptr<http::Responder> responder;
@@ -44,7 +44,8 @@
   void SendCreate(const Exchange& exchange, ledger::CreateProgram command);
   void StartCall(const Exchange& exchange, const bundle::ActiveBundle& active);
   void EndProgram(const Exchange& exchange);
-  /// Reads the program and hands it on if it is the caller's; else answers.
+  /// Reads the program and passes it to `then` if it is the caller's partner's; else responds with
+  /// an error.
   void WithProgram(const Exchange& exchange, const ProgramId& program, ProgramCallback then);
 
   CallHost& host_;
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -11,7 +11,7 @@
 using ledger::CallState;
 using nlohmann::json;
 
-constexpr int kRetrySoonSeconds = 1;
+constexpr int kRetryAfterSeconds = 1;
 
 http::Response ToResponse(const OperatorAnswer& answer) {
   json body = {{"detail", answer.detail}, {"epoch", answer.epoch}};
@@ -27,25 +27,27 @@
     case OperatorAnswer::Code::kNotFound:
       return Problem(404, answer.detail, CallState::kNotRun);
     case OperatorAnswer::Code::kUnavailable:
-      return Problem(503, answer.detail, CallState::kNotRun, kRetrySoonSeconds);
+      return Problem(503, answer.detail, CallState::kNotRun, kRetryAfterSeconds);
     case OperatorAnswer::Code::kUnknown:
       break;
   }
-  return Problem(504, answer.detail, CallState::kUnknown, kRetrySoonSeconds);
+  return Problem(504, answer.detail, CallState::kUnknown, kRetryAfterSeconds);
 }
 
-/// @return true if the object holds exactly these texts and, if named, one positive number.
-bool HasExactly(const json& body, std::initializer_list<const char*> texts, const char* number) {
-  std::size_t expected = texts.size() + (number == nullptr ? 0 : 1);
-  if (!body.is_object() || body.size() != expected) {
+/// @return true if `body` has exactly these strings and, if named, one unsigned number.
+bool HasExactly(const json& body, std::initializer_list<const char*> strings,
+                const char* number_field) {
+  std::size_t expected_size = strings.size() + (number_field == nullptr ? 0 : 1);
+  if (!body.is_object() || body.size() != expected_size) {
     return false;
   }
-  for (const char* text : texts) {
-    if (!body.contains(text) || !body[text].is_string()) {
+  for (const char* string_field : strings) {
+    if (!body.contains(string_field) || !body[string_field].is_string()) {
       return false;
     }
   }
-  return number == nullptr || (body.contains(number) && body[number].is_number_unsigned());
+  return number_field == nullptr ||
+         (body.contains(number_field) && body[number_field].is_number_unsigned());
 }
 
 }  // namespace
@@ -58,14 +60,15 @@
     return false;
   }
   if (request.method != "POST") {
-    responder->Send(Problem(405, "no such method on this path", CallState::kNotRun));
+    responder->Send(Problem(405, "method not allowed on this path", CallState::kNotRun));
     return true;
   }
   json body = json::parse(request.body, nullptr, /*allow_exceptions=*/false);
-  auto answer = [responder](const OperatorAnswer& told) { responder->Send(ToResponse(told)); };
+  auto answer = [responder](const OperatorAnswer& result) { responder->Send(ToResponse(result)); };
   if (bundles) {
     if (!HasExactly(body, {"bundle", "signature"}, nullptr)) {
-      responder->Send(Problem(400, "the body must hold exactly 'bundle' and 'signature', texts",
+      responder->Send(Problem(400,
+                              "the body must have exactly the strings 'bundle' and 'signature'",
                               CallState::kNotRun));
       return true;
     }
@@ -74,7 +77,7 @@
   }
   if (!HasExactly(body, {"partner", "bundle_hash", "signature"}, "epoch")) {
     responder->Send(
-        Problem(400, "the body must hold exactly 'partner', 'epoch', 'bundle_hash' and 'signature'",
+        Problem(400, "the body must have exactly 'partner', 'epoch', 'bundle_hash' and 'signature'",
                 CallState::kNotRun));
     return true;
   }
--- a/src/gateway/operator_api.h
+++ b/src/gateway/operator_api.h
@@ -1,4 +1,5 @@
-// The HTTP API for operators: submit a signed bundle, roll it. What authorises is the signature.
+// The HTTP API for operators: submit a signed bundle, roll it out. Requests are authorized by their
+// signatures.
 #pragma once
 
 #include <memory>
@@ -12,7 +13,7 @@
  public:
   explicit OperatorApi(bundle::RollManager& rolls) : rolls_(rolls) {}
 
-  /// @return false when the path is not of this API.
+  /// @return false if the path is not part of this API.
   bool Handle(const http::Request& request, const std::shared_ptr<http::Responder>& responder);
 
  private:
--- a/src/gateway/problem.cc
+++ b/src/gateway/problem.cc
@@ -7,8 +7,8 @@
 
 namespace martenyard::gateway {
 namespace {
-constexpr std::size_t kMaxIdentifier = 128;
-constexpr char kBearer[] = "Bearer ";
+constexpr std::size_t kMaxIdentifierLength = 128;
+constexpr char kBearerPrefix[] = "Bearer ";
 }  // namespace
 
 std::string OutcomeName(ledger::CallState state) {
@@ -32,7 +32,7 @@
                          {"status", status},
                          {"outcome", OutcomeName(outcome)}};
   if (retry_after_seconds) {
-    // A key that was settled as not run stays void, so that late duplicates can't run it.
+    // A key whose call did not run stays void, so that late duplicates can't run it.
     body["retry_with"] = outcome == ledger::CallState::kNotRun ? "new_key" : "same_key";
   }
   http::Response response;
@@ -55,12 +55,12 @@
 
 std::string BearerToken(const http::Request& request) {
   std::string header = request.Header("authorization");
-  constexpr std::size_t kPrefix = sizeof(kBearer) - 1;
-  return header.compare(0, kPrefix, kBearer) == 0 ? header.substr(kPrefix) : "";
+  constexpr std::size_t kPrefixLength = sizeof(kBearerPrefix) - 1;
+  return header.compare(0, kPrefixLength, kBearerPrefix) == 0 ? header.substr(kPrefixLength) : "";
 }
 
 bool IsIdentifier(const std::string& text) {
-  return !text.empty() && text.size() <= kMaxIdentifier &&
+  return !text.empty() && text.size() <= kMaxIdentifierLength &&
          std::all_of(text.begin(), text.end(), [](unsigned char c) {
            return std::isalnum(c) != 0 || c == '.' || c == '_' || c == ':' || c == '-';
          });
--- a/src/gateway/problem.h
+++ b/src/gateway/problem.h
@@ -1,4 +1,4 @@
-// Error answers as application/problem+json, and checks shared by the HTTP APIs.
+// Error responses as application/problem+json, and helpers shared by the HTTP APIs.
 #pragma once
 
 #include <optional>
@@ -12,18 +12,17 @@
 /// @return "ran", "running", "unknown" or "not_run".
 std::string OutcomeName(ledger::CallState state);
 
-/// @return an error answer; `outcome` tells what is known of the effect of all requests with this
-/// key. `retry_with` in the body names the key to use with a later try, where one makes sense.
+/// @return an error response. `outcome` is the state of the call over all requests with its key. If
+/// a retry makes sense, `retry_with` in the body says whether it takes the same or a new key.
 http::Response Problem(int status, const std::string& title, ledger::CallState outcome,
                        std::optional<int> retry_after_seconds = std::nullopt);
 
-/// @return an answer with a JSON body.
 http::Response JsonResponse(int status, std::string body);
 
 /// @return the bearer token of an Authorization header, or an empty string.
 std::string BearerToken(const http::Request& request);
 
-/// @return true for 1 to 128 letters, digits and `._:-`: fit for ids in paths and logs.
+/// @return true for 1 to 128 letters, digits and `._:-`, which are safe in paths and logs.
 bool IsIdentifier(const std::string& text);
 
 }  // namespace martenyard::gateway
--- a/src/gateway/prompt.cc
+++ b/src/gateway/prompt.cc
@@ -24,7 +24,7 @@
   };
   for (const ledger::CallRecord& call : history) {
     if (call.kind != ledger::CallKind::kModel) {
-      continue;  // Callers put what a tool answered into their next turn, as they see fit.
+      continue;  // Callers include tool results in their next turn themselves.
     }
     append_turn(call.turn);
     messages.push_back(json::parse(call.result).at("message"));
--- a/src/gateway/prompt.h
+++ b/src/gateway/prompt.h
@@ -1,4 +1,4 @@
-// Builds what an engine is asked from a program's history, and estimates tokens.
+// Builds the messages of a model call from a program's history, and estimates token counts.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace martenyard::gateway {
 
-/// @return about how many tokens `text` has; used where no engine has counted.
+/// @return an estimate of the tokens in `text`, for texts whose tokens no engine has counted.
 ledger::Tokens EstimateTokens(std::string_view text);
 
-/// @return the chat messages (JSON array) of the program's earlier model calls and of `turn`.
+/// @return the chat messages (a JSON array) of the program's earlier model calls and of `turn`.
 std::string BuildMessages(const std::vector<ledger::CallRecord>& history, const std::string& turn);
 
-/// @return a model call's stored result: the assistant's message and the usage, JSON.
+/// @return the result stored for a model call: the assistant's message and the usage, as JSON.
 std::string BuildModelResult(const std::string& text, std::int64_t prompt_tokens,
                              std::int64_t cached_tokens, std::int64_t completion_tokens);
 
--- a/tests/gateway/call_answer_test.cc
+++ b/tests/gateway/call_response_test.cc
@@ -1,12 +1,6 @@
-// What a caller's stream says at its end.
-//
-// Symptom: a stream's text was one attempt's and its `done` event another one's.
-// Sequence: a gateway streams a whole answer and can't reach the ledger to store it; the attempt
-// lapses, the caller or another daemon runs the call again, and that answer is stored; then the
-// first gateway's result reaches the ledger, which answers with the stored record.
-// Cause: the end was told from the record without a look at what had been streamed.
-// What settled it: `done` with a content that the text events before it do not make.
-#include "gateway/call_answer.h"
+// Guards against streams whose `done` event has another attempt's result than the text before it:
+// the attempt lapsed before its result was stored, and a later attempt's was.
+#include "gateway/call_response.h"
 
 #include <gtest/gtest.h>
 
@@ -29,17 +23,17 @@
   json data;
 };
 
-/// Keeps what a caller would get.
+/// Records what the caller receives.
 class FakeResponder : public http::Responder {
  public:
-  void Send(http::Response response) override { whole = std::move(response); }
+  void Send(http::Response response) override { sent = std::move(response); }
   void StartStream(int status, std::map<std::string, std::string>) override { stream = status; }
   void Write(std::string chunk) override { parser_.Feed(chunk); }
   void Finish() override { finished = true; }
   void Cut() override { ADD_FAILURE() << "cut"; }
   void OnDisconnect(std::function<void()>) override {}
 
-  std::optional<http::Response> whole;
+  std::optional<http::Response> sent;
   std::optional<int> stream;
   std::vector<Event> events;
   bool finished = false;
@@ -68,20 +62,20 @@
   return end;
 }
 
-TEST(CallAnswerTest, StreamEndsInDoneOnlyIfItsTextIsTheStoredAnswers) {
+TEST(CallResponseTest, StreamEndsWithDoneOnlyIfItsTextIsTheStoredResult) {
   struct Case {
     const char* name;
     std::vector<std::string> streamed;
     CallEnd end;
-    std::string last;  // The last event; empty: no stream, but one whole answer.
+    std::string last;  // The last event; empty if a single response is sent instead.
   };
   const std::vector<Case> cases = {
       {"Whole", {"one ", "two"}, Ran("one two"), "done"},
       {"StoredBefore", {}, Ran("one two"), "done"},
-      {"AnotherAttemptsAnswer", {"one ", "two"}, Ran("three"), "error"},
+      {"AnotherAttemptsResult", {"one ", "two"}, Ran("three"), "error"},
       {"LongerThanStreamed", {"one "}, Ran("one two"), "error"},
       {"ShorterThanStreamed", {"one ", "two"}, Ran("one"), "error"},
-      {"FailedBehindText", {"one "}, Failed(), "error"},
+      {"FailedAfterText", {"one "}, Failed(), "error"},
       {"FailedBeforeText", {}, Failed(), ""},
   };
   for (const Case& test : cases) {
@@ -95,8 +89,8 @@
     }
     sink->OnEnd(test.end);
     if (test.last.empty()) {
-      ASSERT_TRUE(responder->whole);
-      EXPECT_EQ(responder->whole->status, test.end.status);
+      ASSERT_TRUE(responder->sent);
+      EXPECT_EQ(responder->sent->status, test.end.status);
       EXPECT_FALSE(responder->stream);
       continue;
     }
@@ -109,18 +103,19 @@
     }
     if (test.last == "error" && test.end.record) {
       EXPECT_EQ(last.data["outcome"], "unknown");
-      EXPECT_EQ(last.data["retry_with"], "same_key") << "the key gives the stored answer";
+      EXPECT_EQ(last.data["retry_with"], "same_key")
+          << "a retry with the key returns the stored result";
     }
   }
 }
 
-TEST(CallAnswerTest, WholeAnswerIsTheStoredOne) {
+TEST(CallResponseTest, BufferedResponseIsTheStoredResult) {
   auto responder = std::make_shared<FakeResponder>();
-  std::shared_ptr<CallSink> sink = CreateWholeSink(responder);
+  std::shared_ptr<CallSink> sink = CreateBufferedSink(responder);
   sink->OnText("one ");
   sink->OnEnd(Ran("three"));
-  ASSERT_TRUE(responder->whole);
-  EXPECT_EQ(json::parse(responder->whole->body)["message"]["content"], "three");
+  ASSERT_TRUE(responder->sent);
+  EXPECT_EQ(json::parse(responder->sent->body)["message"]["content"], "three");
 }
 
 }  // namespace
