--- a/src/event_log/event_log.cc
+++ b/src/event_log/event_log.cc
@@ -15,8 +15,8 @@
 namespace martenyard::event_log {
 namespace {
 
-/// A pipe that is ready takes this many bytes without blocking (PIPE_BUF).
-constexpr std::size_t kWriteBytes = 4096;
+/// A writable pipe accepts this many bytes without blocking (PIPE_BUF).
+constexpr std::size_t kMaxWriteBytes = 4096;
 
 void AppendEscaped(absl::string_view text, std::string& out) {
   for (char byte : text) {
@@ -32,7 +32,7 @@
   }
 }
 
-bool TakesBytes(int file) {
+bool IsWritable(int file) {
   pollfd query{file, POLLOUT, 0};
   return poll(&query, 1, 0) == 1 && (query.revents & POLLOUT) != 0;
 }
@@ -80,28 +80,28 @@
 
 void EventLog::Write(const Line& line) {
   ++sequence_;
-  if (unwritten_.size() + line.body().size() > buffer_bytes_) {
+  if (buffer_.size() + line.body().size() > buffer_bytes_) {
     ++dropped_since_flush_;
     ++stats_.dropped_lines;
     return;
   }
   ++stats_.lines;
-  absl::StrAppend(&unwritten_, "{\"time_us\":", absl::ToUnixMicros(SteadyNow()),
+  absl::StrAppend(&buffer_, "{\"time_us\":", absl::ToUnixMicros(SteadyNow()),
                   ",\"sequence\":", sequence_, ",\"node\":\"", node_, "\",", line.body(), "}\n");
 }
 
 void EventLog::Flush() {
   std::size_t written = 0;
-  while (written < unwritten_.size() && TakesBytes(file_)) {
-    std::size_t piece = std::min(kWriteBytes, unwritten_.size() - written);
-    ssize_t count = write(file_, unwritten_.data() + written, piece);
+  while (written < buffer_.size() && IsWritable(file_)) {
+    std::size_t chunk = std::min(kMaxWriteBytes, buffer_.size() - written);
+    ssize_t count = write(file_, buffer_.data() + written, chunk);
     if (count <= 0) {
       break;
     }
     written += static_cast<std::size_t>(count);
   }
-  unwritten_.erase(0, written);
-  if (dropped_since_flush_ > 0 && unwritten_.size() < buffer_bytes_ / 2) {
+  buffer_.erase(0, written);
+  if (dropped_since_flush_ > 0 && buffer_.size() < buffer_bytes_ / 2) {
     Line line("log_dropped");
     line.Number("lines", static_cast<std::int64_t>(dropped_since_flush_));
     dropped_since_flush_ = 0;
--- a/src/event_log/event_log.h
+++ b/src/event_log/event_log.h
@@ -1,7 +1,8 @@
-// Structured decision log: one JSON object a line on a file descriptor, bounded and never blocking.
+// Structured event log: one JSON object per line on a file descriptor, with a bounded buffer and
+// without blocking.
 //
-// log4cplus appenders block when their reader stops, so the lines that every request makes go
-// through this module instead; see docs/LOGS.md for the closed list of events.
+// log4cplus appenders block while their reader is stopped, so per-request lines are written by this
+// module instead. docs/LOGS.md lists all events.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +12,7 @@
 
 namespace martenyard::event_log {
 
-/// One line under construction. Keys must be plain ASCII; values are escaped.
+/// Builds one line. Keys must be plain ASCII; values are escaped.
 class Line {
  public:
   /// @param event the event's type, one of docs/LOGS.md.
@@ -31,26 +32,26 @@
   std::string body_;
 };
 
-/// What became of the lines written so far.
+/// Counters since the log was opened.
 struct EventLogStats {
   std::uint64_t lines = 0;
   std::uint64_t dropped_lines = 0;
 };
 
-/// Where lines go. Not thread-safe: each process writes from its loop's thread.
+/// Writes lines to a file descriptor. Not thread-safe.
 class EventLog {
  public:
   /// @param file an open descriptor, usually standard output; not closed by this object.
-  /// @param node names the process in every line.
-  /// @param buffer_bytes lines beyond this many unwritten bytes are dropped and counted.
+  /// @param node the name of the process, in every line.
+  /// @param buffer_bytes capacity of the buffer; lines that don't fit are dropped and counted.
   EventLog(int file, std::string node, std::size_t buffer_bytes = kDefaultBufferBytes);
   ~EventLog();
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  /// Adds a line; writes nothing yet.
+  /// Appends a line to the buffer.
   void Write(const Line& line);
-  /// Writes what the reader takes at once; the rest stays for the next call.
+  /// Writes as much of the buffer as is possible without blocking.
   void Flush();
   const EventLogStats& stats() const { return stats_; }
 
@@ -60,7 +61,7 @@
   int file_;
   std::string node_;
   std::size_t buffer_bytes_;
-  std::string unwritten_;
+  std::string buffer_;
   std::uint64_t sequence_ = 0;
   std::uint64_t dropped_since_flush_ = 0;
   EventLogStats stats_;
--- a/tests/event_log/event_log_test.cc
+++ b/tests/event_log/event_log_test.cc
@@ -37,7 +37,7 @@
   std::array<int, 2> ends_{};
 };
 
-TEST(EventLogTest, EachLineIsOneJsonObjectWhateverItsTextsHold) {
+TEST(EventLogTest, EachLineIsOneJsonObjectForAnyText) {
   Pipe pipe;
   EventLog log(pipe.writer(), "node-1");
   log.Write(Line("tested").Text("t", "quote\" back\\ line\n \xff").Number("n", -3).Flag("f", true));
@@ -55,12 +55,12 @@
   EXPECT_EQ(count, 2);
 }
 
-TEST(EventLogTest, StoppedReaderNeverBlocksAndTheDropIsToldLater) {
+TEST(EventLogTest, StoppedReaderNeverBlocksAndDropsAreReportedLater) {
   Pipe pipe;
   EventLog log(pipe.writer(), "node-1", /*buffer_bytes=*/16384);
   for (int number = 0; number < 20000; ++number) {
     log.Write(Line("tested").Number("number", number));
-    log.Flush();  // Would block here if it could.
+    log.Flush();  // Must not block while the reader is stopped.
   }
   EXPECT_GT(log.stats().dropped_lines, 0U);
   std::string text;
@@ -70,7 +70,7 @@
   }
   text += pipe.ReadAll();
   EXPECT_NE(text.find("\"event\":\"log_dropped\""), std::string::npos);
-  EXPECT_EQ(text.back(), '\n') << "lines stay whole";
+  EXPECT_EQ(text.back(), '\n') << "only whole lines are written";
 }
 
 }  // namespace
--- a/tests/event_log/logs_page_test.cc
+++ b/tests/event_log/logs_page_test.cc
@@ -1,4 +1,4 @@
-// docs/LOGS.md is the closed list of events: it names exactly those that the code writes.
+// docs/LOGS.md must list exactly the events that the code writes.
 #include <gtest/gtest.h>
 
 #include <filesystem>
