--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -126,11 +126,11 @@
   while (busy) {
     FlushMembership();
     FlushSpread();
-    for (gateway::LedgerRequestTo& request : router_.TakeRequests()) {
+    for (gateway::OutgoingLedgerRequest& request : router_.TakeRequests()) {
       Send(request.to, std::move(request.request));
     }
-    for (dispatch::NewsTo& news : dispatcher_.TakeNews()) {
-      Send(news.to, std::move(news.news));
+    for (dispatch::OutgoingPermitUpdate& news : dispatcher_.TakeUpdates()) {
+      Send(news.to, std::move(news.update));
     }
     BOOST_LEAF_AUTO(effects, replica_host_.Pump([this](GroupMessageTo message) {
       Send(message.to, std::move(message.message));
@@ -174,7 +174,7 @@
     dispatcher_.OnRelease(now_, from, *release);
   } else if (const auto* news = std::get_if<dispatch::PermitNews>(&message)) {
     backends_.OnLoads(now_, news->loads);
-    coordinator_.OnPermitNews(*news);
+    coordinator_.OnPermitUpdate(*news);
   } else if (const auto* spread = std::get_if<spread::SpreadMessage>(&message)) {
     spread_.OnMessage(from, *spread, Peers());
   } else if (const auto* list = std::get_if<membership::MemberList>(&message)) {
@@ -206,7 +206,7 @@
 }
 
 void Node::FlushSpread() {
-  for (spread::SpreadTo& message : spread_.TakeMessages()) {
+  for (spread::OutgoingSpreadMessage& message : spread_.TakeMessages()) {
     Send(message.to, std::move(message.message));
   }
   std::vector<spread::Item> changes = spread_.TakeChanges();
@@ -233,7 +233,7 @@
   for (const membership::MemberInfo& member : before) {
     if (membership_.StatusOf(member.id) == membership::MemberStatus::kDead) {
       MARTENYARD_LOG_INFO("membership", "Daemon " << member.peer.ToString() << " is gone.");
-      router_.OnMemberGone(now_, member.id);
+      router_.OnMemberRemoved(now_, member.id);
     }
   }
   MARTENYARD_LOG_INFO("membership", "Members up: " << live_.all.size() << ".");
@@ -495,20 +495,20 @@
                                             static_cast<std::uint64_t>(options_.groups)));
 }
 
-void Node::AskLedger(GroupId group, ledger::RequestBody body, absl::Time deadline,
-                     gateway::LedgerCallback on_answer) {
-  router_.Ask(group, std::move(body), deadline, std::move(on_answer));
+void Node::SendLedgerRequest(GroupId group, ledger::RequestBody body, absl::Time deadline,
+                             gateway::LedgerCallback on_answer) {
+  router_.Submit(group, std::move(body), deadline, std::move(on_answer));
 }
 
 // ---- Engines ----
 
-void Node::SendPermitAsks(const std::vector<dispatch::PermitAsk>& asks) {
+void Node::SendPermitRequests(const std::vector<dispatch::PermitAsk>& asks) {
   std::map<NodeId, dispatch::PermitSync> by_dispatcher;
   for (const dispatch::PermitAsk& ask : asks) {
     const clients::Backend* engine = backends_.Find(ask.engine);
     auto dispatcher = engine == nullptr ? std::nullopt : DispatcherOf(*engine, live_);
     if (dispatcher) {
-      by_dispatcher[*dispatcher].asks.push_back(ask);
+      by_dispatcher[*dispatcher].requests.push_back(ask);
     }
   }
   for (auto& [dispatcher, sync] : by_dispatcher) {
@@ -517,7 +517,7 @@
 }
 
 void Node::SendPermitRelease(const dispatch::PermitRelease& release) {
-  if (release.engine_leaves) {
+  if (release.engine_draining) {
     backends_.MarkLeaving(Now(), release.engine);
   }
   const clients::Backend* engine = backends_.Find(release.engine);
@@ -607,15 +607,15 @@
     by_group[GroupOf(program)].programs.push_back(program);
   }
   for (auto& [group, check] : by_group) {
-    AskLedger(group, std::move(check), Now() + kSweepPatience,
-              [this, url = engine.url](const gateway::LedgerAnswer& answer) {
-                if (answer.status != gateway::LedgerAnswer::Status::kAnswered) {
-                  return;
-                }
-                for (const ProgramId& program : answer.reply.programs_over) {
-                  environment_.Backends().ReleaseContext(url, program.value, [](bool) {});
-                }
-              });
+    SendLedgerRequest(group, std::move(check), Now() + kSweepPatience,
+                      [this, url = engine.url](const gateway::LedgerResult& answer) {
+                        if (answer.status != gateway::LedgerResult::Status::kAnswered) {
+                          return;
+                        }
+                        for (const ProgramId& program : answer.reply.programs_over) {
+                          environment_.Backends().ReleaseContext(url, program.value, [](bool) {});
+                        }
+                      });
   }
 }
 
--- a/src/forwarding/quota/quota_client.cc
+++ b/src/forwarding/quota/quota_client.cc
@@ -36,7 +36,7 @@
 {
 }
 
-tenancy::quota_answer quota_client::decide_locally(tenancy::quota_request request)
+tenancy::quota_reply quota_client::decide_locally(tenancy::quota_request request)
 {
     tenancy::instant now = SteadyInstant();
     if (now - m_local_last_used > m_window)
@@ -117,7 +117,7 @@
         batch[index]->m_done = true;
         if (result && index < waits.size())
         {
-            bool refused = waits[index] == tenancy::quota_answer::refused;
+            bool refused = waits[index] == tenancy::quota_reply::refused;
             batch[index]->m_decision = {refused ? quota_verdict::refused : quota_verdict::granted,
                                         std::chrono::milliseconds(std::max(waits[index], 0)),
                                         std::chrono::milliseconds(result->quota.m_retry_after_ms)};
--- a/src/forwarding/quota/quota_client.h
+++ b/src/forwarding/quota/quota_client.h
@@ -90,7 +90,7 @@
     async_http::Task<void> send_batch(std::string tenant);
 
     /// @brief decides by this gateway's share of the limit, for ledger leaders of builds without quotas
-    tenancy::quota_answer decide_locally(tenancy::quota_request request);
+    tenancy::quota_reply decide_locally(tenancy::quota_request request);
 
     async_http::asio::io_context& m_context;
     turn_ledger::LedgerClient& m_ledger;
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -39,7 +39,7 @@
     case Prerequisite::kLedgerGroups:
       return state_->ledger->groups() > 0;
     case Prerequisite::kLease:
-      return state_->lease.holds(std::chrono::steady_clock::now());
+      return state_->lease.is_valid(std::chrono::steady_clock::now());
   }
   return false;
 }
@@ -84,7 +84,7 @@
 
 Task<bool> RequestHandler::CheckKey() {
   const auto& tenants = routes_->configuration().tenants;
-  if (!tenants.empty() && !state_->lease.confirmed()) {
+  if (!tenants.empty() && !state_->lease.last_confirmed()) {
     co_await WaitFor(Prerequisite::kLease);
   }
   auto keys = values_of(exchange_->request(), state_->names.api_key);
--- a/src/roles/exchange/lease_renewer.cc
+++ b/src/roles/exchange/lease_renewer.cc
@@ -62,7 +62,7 @@
         return;
     }
     instant now = SteadyInstant();
-    tenancy::confirmation_questions due = m_plan->due({now, peers.m_role, m_lease.confirmed()});
+    tenancy::confirmation_targets due = m_plan->due({now, peers.m_role, m_lease.last_confirmed()});
     if (due.m_store && !m_store_request_pending)
     {
         const auto& items = m_configuration.items();
@@ -78,7 +78,7 @@
     {
         request_from_peers(now, {peers.m_own_zone.front()});
     }
-    if (due.m_widely)
+    if (due.m_other_zones)
     {
         request_from_peers(now, wide_peers(peers));
     }
@@ -104,7 +104,7 @@
     store::StoreStatus status = co_await m_store.Commit(std::move(transaction));
     m_store_request_pending = false;
     bool store_answered = status == store::StoreStatus::kDone || status == store::StoreStatus::kConflict;
-    m_plan->note_store(store_answered);
+    m_plan->on_store_reply(store_answered);
     if (status == store::StoreStatus::kDone)
     {
         m_lease.confirm(sent_at, revision);
@@ -133,7 +133,7 @@
 {
     if (m_plan)
     {
-        m_plan->note_store_back();
+        m_plan->on_store_recovered();
     }
 }
 
@@ -143,10 +143,10 @@
     reply.m_timestamp = request.m_timestamp;
     reply.m_revision = m_lease.revision();
     reply.m_age_ms = never_confirmed;
-    if (m_lease.confirmed())
+    if (m_lease.last_confirmed())
     {
         // Rounded up: an age that is too low would extend the peer's lease beyond its bound.
-        std::uint64_t age = milliseconds_between(*m_lease.confirmed(), SteadyInstant()) + 1;
+        std::uint64_t age = milliseconds_between(*m_lease.last_confirmed(), SteadyInstant()) + 1;
         reply.m_age_ms = static_cast<std::uint32_t>(std::min<std::uint64_t>(age, never_confirmed));
     }
     m_send(request.m_from, reply);
@@ -165,7 +165,7 @@
         return;  // A reply to a previous process at this address.
     }
     ++m_stats.m_peer_replies;
-    m_plan->note_peer(now);
+    m_plan->on_peer_reply(now);
     if (reply.m_age_ms != never_confirmed)
     {
         instant confirmed = m_started_at + milliseconds(sent_at_ms) - milliseconds(reply.m_age_ms);
@@ -176,14 +176,15 @@
 
 void lease_renewer::report_state_change(instant now)
 {
-    bool valid = m_lease.holds(now);
+    bool valid = m_lease.is_valid(now);
     if (valid == m_was_valid)
     {
         return;
     }
     m_was_valid = valid;
-    std::int64_t age =
-        m_lease.confirmed() ? static_cast<std::int64_t>(milliseconds_between(*m_lease.confirmed(), now)) : -1;
+    std::int64_t age = m_lease.last_confirmed()
+                           ? static_cast<std::int64_t>(milliseconds_between(*m_lease.last_confirmed(), now))
+                           : -1;
     m_log.Write(Line(valid ? "configuration_lease_held" : "configuration_lease_lost")
                     .Number("revision", static_cast<std::int64_t>(m_lease.revision()))
                     .Number("confirmed_ms_ago", age));
--- a/src/roles/exchange/lease_renewer.h
+++ b/src/roles/exchange/lease_renewer.h
@@ -17,7 +17,7 @@
 #include "store/metadata_store.h"
 #include "store/prefix_mirror.h"
 #include "tenancy/configuration_lease.h"
-#include "tenancy/confirmation_plan.h"
+#include "tenancy/confirmation_schedule.h"
 #include "wire/endpoint.h"
 
 namespace martenyard::roles
@@ -26,7 +26,7 @@
 /// @brief role of the gateway in its zone, and the peers that it may send confirmation requests to
 struct lease_peers
 {
-    tenancy::zone_part m_role = tenancy::zone_part::member;
+    tenancy::zone_role m_role = tenancy::zone_role::member;
     /// the other aggregators of the own zone, the primary first
     std::vector<wire::Endpoint> m_own_zone;
     std::vector<wire::Endpoint> m_other_zones;
@@ -87,7 +87,7 @@
     send_datagram m_send;
     std::function<void()> m_on_valid;
     Random m_random;
-    std::optional<tenancy::confirmation_plan> m_plan;
+    std::optional<tenancy::confirmation_schedule> m_plan;
     wire::Endpoint m_self;
     /// Requests carry the time since `m_started_at` plus this random base, so that replies to a previous
     /// process at the same address can be discarded.
--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -110,7 +110,7 @@
     m_claim_policy.emplace(self(), m_settings.processor_share);
     m_view.emplace(self());
     m_started_at = SteadyInstant();
-    m_lease_renewer.start(m_settings.revocation.lease(), self().m_endpoint);
+    m_lease_renewer.start(m_settings.revocation.lease_duration(), self().m_endpoint);
     m_registry.start();
     m_storage_link.start(m_started_at, self());
     update_watching(m_started_at);
@@ -331,7 +331,8 @@
     lease_peers peers;
     if (is_aggregator())
     {
-        peers.m_role = represents_zone(now) ? tenancy::zone_part::speaker : tenancy::zone_part::aggregator;
+        peers.m_role =
+            represents_zone(now) ? tenancy::zone_role::representative : tenancy::zone_role::aggregator;
     }
     for (const report_target& target : m_view->report_targets(now))
     {
--- a/src/turn_ledger/types.h
+++ b/src/turn_ledger/types.h
@@ -133,8 +133,8 @@
   std::uint64_t reserved = 0;  ///< Reserved and not yet settled tokens of the program.
   /// The requested chain can't be read on this replica: the result must not be used.
   bool history_missing = false;
-  TurnPlace previous_place;     ///< For a reservation: where `previous` ran.
-  tenancy::quota_answer quota;  ///< For `TakeQuota`.
+  TurnPlace previous_place;    ///< For a reservation: where `previous` ran.
+  tenancy::quota_reply quota;  ///< For `TakeQuota`.
 
   template <class Archive>
   void serialize(Archive& archive) {
