--- a/src/aggregation/change_propagation.h
+++ b/src/aggregation/change_propagation.h
@@ -93,7 +93,7 @@
         std::optional<instant> m_pushed_at;
     };
 
-    /// how long one mirror of this gateway has lagged behind its peers
+    /// query state of one mirror of this gateway
     struct lag_state
     {
         std::optional<instant> m_since;
--- a/src/aggregation/slots.h
+++ b/src/aggregation/slots.h
@@ -57,8 +57,8 @@
 /// @param[in] is_alive  whether a message from an aggregator was received recently
 /// @return the representative of the zone, which watches the store and exchanges summaries with other
 ///         zones: the first aggregator in slot order that is alive or is `self`, or else `self`
-template <typename Hears>
-contact zone_representative(const slot_table& table, const contact& self, Hears is_alive)
+template <typename Predicate>
+contact zone_representative(const slot_table& table, const contact& self, Predicate is_alive)
 {
     for (const contact& holder : slot_holders(table, self.m_zone))
     {
@@ -72,8 +72,8 @@
 
 /// @param[in] is_alive  whether a message from an aggregator was received recently
 /// @return the representative of each neighbor zone, or all aggregators of a zone if none is alive
-template <typename Hears>
-std::vector<wire::Endpoint> summary_targets(const slot_table& table, const contact& self, Hears is_alive,
+template <typename Predicate>
+std::vector<wire::Endpoint> summary_targets(const slot_table& table, const contact& self, Predicate is_alive,
                                             std::size_t max_zones)
 {
     std::vector<wire::Endpoint> targets;
--- a/src/roles/ledger/kept_copies.cc
+++ b/src/roles/ledger/kept_copies.cc
@@ -20,7 +20,7 @@
 
 constexpr std::uint32_t file_format = 1;
 
-/// the copies' names in files and log lines, in the order of aggregation::known_changes
+/// the copies' names in files and log lines, in the order of aggregation::mirror_revisions
 constexpr std::array<const char*, aggregation::mirror_count> copy_names{"configuration", "runners",
                                                                         "ledger_directory", "aggregators"};
 
--- a/tests/aggregation/load_sums_test.cc
+++ b/tests/aggregation/load_sums_test.cc
@@ -15,8 +15,8 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kLifetime{2000};
-constexpr std::uint32_t kA = 1;
-constexpr std::uint32_t kB = 2;
+constexpr std::uint32_t kRunnerA = 1;
+constexpr std::uint32_t kRunnerB = 2;
 using Active = absl::flat_hash_map<std::uint32_t, std::uint32_t>;
 
 Active Sum(const load_sums& sums) {
@@ -27,19 +27,19 @@
 
 TEST(LoadSumsTest, SumsTheLatestReportOfEachSource) {
   load_sums sums(kLifetime);
-  sums.update(instant(), "g1", {{kA, 3}, {kB, 1}});
-  sums.update(instant(), "g2", {{kA, 2}});
-  EXPECT_EQ(Sum(sums), (Active{{kA, 5}, {kB, 1}}));
-  sums.update(instant(), "g1", {{kA, 1}});
-  EXPECT_EQ(Sum(sums), (Active{{kA, 3}}));
+  sums.update(instant(), "g1", {{kRunnerA, 3}, {kRunnerB, 1}});
+  sums.update(instant(), "g2", {{kRunnerA, 2}});
+  EXPECT_EQ(Sum(sums), (Active{{kRunnerA, 5}, {kRunnerB, 1}}));
+  sums.update(instant(), "g1", {{kRunnerA, 1}});
+  EXPECT_EQ(Sum(sums), (Active{{kRunnerA, 3}}));
 }
 
 TEST(LoadSumsTest, ExpireRemovesSourcesWithoutAnUpdate) {
   load_sums sums(kLifetime);
-  sums.update(instant(), "g1", {{kA, 3}});
-  sums.update(instant() + kLifetime, "g2", {{kB, 4}});
+  sums.update(instant(), "g1", {{kRunnerA, 3}});
+  sums.update(instant() + kLifetime, "g2", {{kRunnerB, 4}});
   sums.expire(instant() + kLifetime + milliseconds(1));
-  EXPECT_EQ(Sum(sums), (Active{{kB, 4}}));
+  EXPECT_EQ(Sum(sums), (Active{{kRunnerB, 4}}));
 }
 
 RC_GTEST_PROP(LoadSumsPropertyTest, EqualsTheSumOfTheLatestReports, ()) {
@@ -69,27 +69,27 @@
 
 TEST(PendingUpdatesTest, OutcomesAreSentOnceAndExcessCarriesOver) {
   pending_updates updates(8);
-  updates.record({{kA, 0, 200, 0}, {kB, 0, 1, 2}}, {});
-  updates.record({{kA, 0, 200, 0}}, {});
-  std::vector<runner_load> first = updates.take_loads({{kB, 3}});
+  updates.record({{kRunnerA, 0, 200, 0}, {kRunnerB, 0, 1, 2}}, {});
+  updates.record({{kRunnerA, 0, 200, 0}}, {});
+  std::vector<runner_load> first = updates.take_loads({{kRunnerB, 3}});
   ASSERT_EQ(first.size(), 2U);
   std::sort(first.begin(), first.end(), [](const runner_load& left, const runner_load& right) {
     return left.m_runner < right.m_runner;
   });
-  EXPECT_EQ(first[0], (runner_load{kA, 0, 255, 0}));
-  EXPECT_EQ(first[1], (runner_load{kB, 3, 1, 2}));
+  EXPECT_EQ(first[0], (runner_load{kRunnerA, 0, 255, 0}));
+  EXPECT_EQ(first[1], (runner_load{kRunnerB, 3, 1, 2}));
   std::vector<runner_load> second = updates.take_loads({});
   ASSERT_EQ(second.size(), 1U);
-  EXPECT_EQ(second[0], (runner_load{kA, 0, 145, 0}));
+  EXPECT_EQ(second[0], (runner_load{kRunnerA, 0, 145, 0}));
   EXPECT_TRUE(updates.take_loads({}).empty());
 }
 
 TEST(PendingUpdatesTest, PlacementsBeyondTheLimitAreDroppedAndCounted) {
   pending_updates updates(2);
-  updates.record({}, {{1, 10, kA}, {2, 10, kA}, {3, 10, kA}});
+  updates.record({}, {{1, 10, kRunnerA}, {2, 10, kRunnerA}, {3, 10, kRunnerA}});
   EXPECT_EQ(updates.take_placements().size(), 2U);
   EXPECT_EQ(updates.dropped(), 1U);
-  updates.record({}, {{4, 10, kA}});
+  updates.record({}, {{4, 10, kRunnerA}});
   EXPECT_EQ(updates.take_placements().size(), 1U);
 }
 
@@ -102,36 +102,38 @@
 TEST(AggregatorTest, MembersOfOtherZonesDoNotDisplaceItsOwn) {
   // Regression test: at the start of a large fleet, the first aggregator was full of gateways of
   // other zones.
-  aggregator sums({"self", "z", {"10.0.0.1", 1}}, 7);
+  aggregator own_aggregator({"self", "z", {"10.0.0.1", 1}}, 7);
   for (int number = 0; number < 500; ++number) {
-    sums.handle(instant(), ReportFrom("foreign" + std::to_string(number), "y"));
+    own_aggregator.handle(instant(), ReportFrom("foreign" + std::to_string(number), "y"));
   }
-  EXPECT_EQ(sums.members().size(), aggregator_options{}.m_max_foreign);
-  sums.handle(instant(), ReportFrom("own", "z"));
-  EXPECT_TRUE(sums.has_live_member(instant(), "own"));
-  sums.expire(instant() + milliseconds(2000));
-  EXPECT_EQ(sums.members().size(), 1U) << "members of other zones expire sooner";
+  EXPECT_EQ(own_aggregator.members().size(), aggregator_options{}.m_max_foreign);
+  own_aggregator.handle(instant(), ReportFrom("own", "z"));
+  EXPECT_TRUE(own_aggregator.has_live_member(instant(), "own"));
+  own_aggregator.expire(instant() + milliseconds(2000));
+  EXPECT_EQ(own_aggregator.members().size(), 1U) << "members of other zones expire sooner";
 }
 
 TEST(AggregatorTest, RelayedAndDirectSummariesAreNotCountedTwice) {
-  aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
+  aggregator own_aggregator({"b", "z", {"10.0.0.1", 1}}, 7);
   zone_summary relayed;
   relayed.m_from = {"a", "z", {"10.0.0.1", 2}};
   relayed.m_gateways = 40;
-  relayed.m_loads = {{kA, 5, 0, 0}};
+  relayed.m_loads = {{kRunnerA, 5, 0, 0}};
   zone_summary direct;
   direct.m_from = {"c", "y", {"10.0.0.1", 3}};
   direct.m_gateways = 40;
-  direct.m_loads = {{kA, 5, 0, 0}};
-  sums.handle(instant(), relayed);
-  sums.handle(instant(), direct);
-  EXPECT_EQ(sums.make_digest(instant()).m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
-  EXPECT_EQ(sums.gateway_count(instant()), 40U);
-  sums.set_representative(instant(), true);
-  sums.handle(instant(), relayed);
-  sums.handle(instant(), direct);
-  EXPECT_EQ(sums.make_digest(instant()).m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
-  EXPECT_EQ(sums.gateway_count(instant()), 40U);
+  direct.m_loads = {{kRunnerA, 5, 0, 0}};
+  own_aggregator.handle(instant(), relayed);
+  own_aggregator.handle(instant(), direct);
+  EXPECT_EQ(own_aggregator.make_digest(instant()).m_loads,
+            (std::vector<runner_load>{{kRunnerA, 5, 0, 0}}));
+  EXPECT_EQ(own_aggregator.gateway_count(instant()), 40U);
+  own_aggregator.set_representative(instant(), true);
+  own_aggregator.handle(instant(), relayed);
+  own_aggregator.handle(instant(), direct);
+  EXPECT_EQ(own_aggregator.make_digest(instant()).m_loads,
+            (std::vector<runner_load>{{kRunnerA, 5, 0, 0}}));
+  EXPECT_EQ(own_aggregator.gateway_count(instant()), 40U);
 }
 
 // Regression test: after a change of the representative, relayed and direct summaries were both
@@ -141,7 +143,7 @@
   relayed.m_from = {"a", "z", {"10.0.0.1", 2}};
   relayed.m_gateways = 40;
   relayed.m_without_ledger = 4;
-  relayed.m_loads = {{kA, 5, 0, 0}};
+  relayed.m_loads = {{kRunnerA, 5, 0, 0}};
   zone_summary direct = relayed;
   direct.m_from = {"c", "y", {"10.0.0.1", 3}};
   const milliseconds timeout = aggregator_options{}.m_source_timeout;
@@ -160,31 +162,33 @@
   };
   for (const RepresentativeCase& test : cases) {
     SCOPED_TRACE(test.name);
-    aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
+    aggregator own_aggregator({"b", "z", {"10.0.0.1", 1}}, 7);
     instant now;
-    sums.set_representative(now, test.is_representative_before);
-    sums.handle(now, test.before);
+    own_aggregator.set_representative(now, test.is_representative_before);
+    own_aggregator.handle(now, test.before);
     now += test.between;
     bool is_representative_after =
         test.after.m_from.m_zone != "z" && test.between == milliseconds(0);
-    sums.set_representative(now, is_representative_after);
-    sums.handle(now, test.after);
-    digest totals = sums.make_digest(now);
-    EXPECT_EQ(totals.m_loads, (std::vector<runner_load>{{kA, 5, 0, 0}}));
+    own_aggregator.set_representative(now, is_representative_after);
+    own_aggregator.handle(now, test.after);
+    digest totals = own_aggregator.make_digest(now);
+    EXPECT_EQ(totals.m_loads, (std::vector<runner_load>{{kRunnerA, 5, 0, 0}}));
     EXPECT_EQ(totals.m_gateways, 40U);
     EXPECT_EQ(totals.m_without_ledger, 4U);
   }
 }
 
 TEST(AggregatorTest, NewRepresentativeDoesNotRepeatOutcomesSentByThePrevious) {
-  aggregator sums({"b", "z", {"10.0.0.1", 1}}, 7);
+  aggregator own_aggregator({"b", "z", {"10.0.0.1", 1}}, 7);
   member_report report = ReportFrom("own", "z");
-  report.m_loads = {{kA, 0, 9, 9}};
-  sums.handle(instant(), report);
-  sums.set_representative(instant(), true);
-  EXPECT_TRUE(sums.make_summary(instant()).m_loads.empty()) << "outcomes must not be sent twice";
-  sums.handle(instant(), report);
-  EXPECT_EQ(sums.make_summary(instant()).m_loads, (std::vector<runner_load>{{kA, 0, 9, 9}}));
+  report.m_loads = {{kRunnerA, 0, 9, 9}};
+  own_aggregator.handle(instant(), report);
+  own_aggregator.set_representative(instant(), true);
+  EXPECT_TRUE(own_aggregator.make_summary(instant()).m_loads.empty())
+      << "outcomes must not be sent twice";
+  own_aggregator.handle(instant(), report);
+  EXPECT_EQ(own_aggregator.make_summary(instant()).m_loads,
+            (std::vector<runner_load>{{kRunnerA, 0, 9, 9}}));
 }
 
 }  // namespace
