--- a/apps/cli/explain_command.cc
+++ b/apps/cli/explain_command.cc
@@ -21,19 +21,21 @@
     if (!text) {
       return Complain(kExitUsage, "cannot read " + file);
     }
-    std::vector<explain::LogLine> more = explain::ReadLines(*text);
+    std::vector<explain::LogLine> more = explain::ParseLogLines(*text);
     lines.insert(lines.end(), more.begin(), more.end());
   }
-  explain::Account account = explain::Explain(lines, arguments[0]);
-  if (!account.found) {
-    return Complain(kExitRefused, account.cause);
+  explain::Explanation explanation = explain::Explain(lines, arguments[0]);
+  if (!explanation.found) {
+    return Complain(kExitRefused, explanation.cause);
   }
   if (ReadCommonFlags().json) {
-    Print({{"outcome", account.outcome}, {"cause", account.cause}, {"steps", account.steps}});
+    Print({{"outcome", explanation.outcome},
+           {"cause", explanation.cause},
+           {"steps", explanation.steps}});
     return kExitOk;
   }
-  std::cout << "outcome: " << account.outcome << "\ncause: " << account.cause << "\n";
-  for (const std::string& step : account.steps) {
+  std::cout << "outcome: " << explanation.outcome << "\ncause: " << explanation.cause << "\n";
+  for (const std::string& step : explanation.steps) {
     std::cout << "  " << step << "\n";
   }
   return kExitOk;
--- a/src/explain/explain.cc
+++ b/src/explain/explain.cc
@@ -14,11 +14,11 @@
 
 using nlohmann::json;
 
-/// Lines of other subjects this long before a request's first and after its last are told too.
-constexpr std::int64_t kSurroundingMicros = 1500000;
+/// Process events are included from this long before a request's first line.
+constexpr std::int64_t kContextMicros = 1500000;
 
-/// Events that say what a process believed, whatever the request.
-bool IsSurrounding(const std::string& event) {
+/// @return true for events about the state of a process rather than about a request.
+bool IsProcessEvent(const std::string& event) {
   static const std::set<std::string> kEvents = {"started",
                                                 "stopping",
                                                 "stopped",
@@ -52,7 +52,7 @@
   return found->is_string() ? found->get<std::string>() : found->dump();
 }
 
-/// A line in words: its event and every field that is not common to all lines.
+/// Formats a line as its time, node, event and the fields that not all lines have.
 std::string Describe(const LogLine& line, std::int64_t start_us) {
   json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
   double ms = static_cast<double>(line.time_us - start_us) / 1000.0;
@@ -69,54 +69,56 @@
   return text.str();
 }
 
-/// Why the ledger, or the gateway in its place, refused a reservation at once.
-std::string CauseOfOverload(const std::string& gateway, const std::vector<LogLine>& around) {
-  for (const LogLine& line : around) {
+/// Why the ledger, or the gateway on its behalf, refused a reservation at once.
+std::string CauseOfOverload(const std::string& gateway, const std::vector<LogLine>& context) {
+  for (const LogLine& line : context) {
     json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
-    bool lost = line.event == "readiness_changed" && line.node == gateway &&
-                Field(object, "ready") == "false";
-    if (lost) {
-      return absl::StrCat("its gateway ", gateway, " had lost the ledger (",
-                          Field(object, "silent_groups"), " of ", Field(object, "groups"),
-                          " groups silent) and no peer reached it: refused at once, not run");
+    bool lost_ledger = line.event == "readiness_changed" && line.node == gateway &&
+                       Field(object, "ready") == "false";
+    if (lost_ledger) {
+      return absl::StrCat(
+          "gateway ", gateway, " had lost contact with the ledger (",
+          Field(object, "silent_groups"), " of ", Field(object, "groups"),
+          " groups silent) and no peer could relay to it: refused at once, not run");
     }
     if (line.event == "memory_full") {
-      return absl::StrCat("ledger machine ", line.node, " was full (", Field(object, "used"),
-                          " of ", Field(object, "limit"), " bytes): refused, not run");
+      return absl::StrCat("ledger machine ", line.node, " had reached its memory limit (",
+                          Field(object, "used"), " of ", Field(object, "limit"),
+                          " bytes): refused, not run");
     }
   }
-  return "the program's group had more than it could do, or was silent: refused, not run";
+  return "the program's ledger group was overloaded or unresponsive: refused, not run";
 }
 
-/// Why a tenant's limit, or nobody's answer about it, ended the request.
+/// Why a tenant's limit, or the lack of a decision about it, ended the request.
 std::string CauseOfQuota(const json& refusal) {
   if (Field(refusal, "known") == "false") {
-    return absl::StrCat("nobody who counts the requests of tenant ", Field(refusal, "tenant"),
-                        " answered within ", Field(refusal, "ms"), " ms: refused, not run");
+    return absl::StrCat("no rate limiter of tenant ", Field(refusal, "tenant"), " replied within ",
+                        Field(refusal, "ms"), " ms: refused, not run");
   }
-  return absl::StrCat("tenant ", Field(refusal, "tenant"), " was beyond its limit of ",
-                      Field(refusal, "rate"), " requests a second and ", Field(refusal, "burst"),
+  return absl::StrCat("tenant ", Field(refusal, "tenant"), " exceeded its limit of ",
+                      Field(refusal, "rate"), " requests per second and ", Field(refusal, "burst"),
                       " at once (configuration ", Field(refusal, "configuration"),
-                      "): refused, not run; it could come back after ",
+                      "): refused, not run; it may be retried after ",
                       Field(refusal, "retry_after_ms"), " ms");
 }
 
-/// Why a gateway took no API keys.
+/// Why a gateway did not accept API keys.
 std::string CauseOfLease(const std::string& gateway, const std::string& detail,
-                         const std::vector<LogLine>& around) {
+                         const std::vector<LogLine>& context) {
   std::string cause = absl::StrCat(detail, ": refused, not run");
-  for (const LogLine& line : around) {
+  for (const LogLine& line : context) {
     if (line.event == "configuration_lease_lost" && line.node == gateway) {
       json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
-      absl::StrAppend(&cause, "; ", gateway, " had last known it to be the newest ",
-                      Field(object, "confirmed_ms_ago"), " ms before it lost its lease");
+      absl::StrAppend(&cause, "; ", gateway, " had last confirmed it as the newest ",
+                      Field(object, "confirmed_ms_ago"), " ms before its lease expired");
     }
   }
   return cause;
 }
 
-/// Which runners had a part in an answer that was passed on.
-std::string CauseOfAnswer(const std::vector<LogLine>& own, const json& last) {
+/// Which runners contributed to a forwarded response.
+std::string CauseOfResponse(const std::vector<LogLine>& own, const json& last) {
   std::string broken;
   json attempt;
   for (const LogLine& line : own) {
@@ -125,21 +127,21 @@
     }
     attempt = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
     if (Field(attempt, "end") != "answered") {
-      absl::StrAppend(&broken, "; before it runner ", Field(attempt, "runner"), " ended with ",
+      absl::StrAppend(&broken, "; before that, runner ", Field(attempt, "runner"), " ended with ",
                       Field(attempt, "end"), " (", Field(attempt, "detail"), ") after ",
                       Field(attempt, "events"), " events, and ", Field(attempt, "unfinished_bytes"),
                       " bytes of the next were dropped");
     }
   }
   if (broken.empty()) {
-    return "it was answered; its runner's answer was passed on unchanged";
+    return "it was answered; its runner's response was forwarded unchanged";
   }
   return absl::StrCat("it was answered by runner ", Field(attempt, "runner"),
-                      ", under the head of runner ", Field(last, "head_of"), broken);
+                      ", with the response head of runner ", Field(last, "head_of"), broken);
 }
 
-/// What the last attempt and the surroundings say of a refusal or a break.
-std::string CauseOf(const std::vector<LogLine>& own, const std::vector<LogLine>& around) {
+/// Why the request ended as it did.
+std::string CauseOf(const std::vector<LogLine>& own, const std::vector<LogLine>& context) {
   json last;
   json attempt;
   json admission;
@@ -154,7 +156,7 @@
   std::string outcome = last.is_object() ? Field(last, "outcome") : "unknown";
   std::string verdict = admission.is_object() ? Field(admission, "verdict") : "";
   if (outcome == "unknown") {
-    return "its gateway wrote no end: the process was killed, or the line was dropped";
+    return "its gateway logged no end: the process was killed, or the line was dropped";
   }
   if (quota.is_object()) {
     return CauseOfQuota(quota);
@@ -162,30 +164,29 @@
   std::string detail = Field(last, "detail");
   if (absl::StrContains(detail, "API key may be revoked") ||
       absl::StrContains(detail, "configuration may be too old")) {
-    return CauseOfLease(own.back().node, detail, around);
+    return CauseOfLease(own.back().node, detail, context);
   }
   if (verdict == "engines_full") {
-    return absl::StrCat("it would have begun a program while ", Field(admission, "active"),
+    return absl::StrCat("it would have started a program while ", Field(admission, "active"),
                         " requests were at engines with ", Field(admission, "slots"),
-                        " slots: refused, not run; its program could come back later");
+                        " slots: refused, not run; its program may be retried later");
   }
   if (verdict == "budget_spent") {
     return absl::StrCat("the program's budget of ", Field(admission, "budget"),
-                        " tokens did not hold this turn's ", Field(admission, "most"), ": ",
+                        " tokens did not cover this turn's ", Field(admission, "most"), ": ",
                         Field(admission, "spent"), " were spent and ", Field(admission, "reserved"),
-                        " reserved by turns not settled yet");
+                        " reserved by unsettled turns");
   }
   if (verdict == "unknown_previous") {
-    return absl::StrCat("the ledger, asked by its quorum, knows no turn ",
-                        Field(admission, "previous"));
+    return absl::StrCat("a quorum of the ledger knows no turn ", Field(admission, "previous"));
   }
   if (verdict == "no_answer") {
     std::string changes;
-    for (const LogLine& line : around) {
-      bool tells = line.event == "replica_role" || line.event == "disk_failed" ||
-                   line.event == "started" || line.event == "machine_refuses";
-      if (tells) {
-        absl::StrAppend(&changes, changes.empty() ? "; around it: " : ", ", line.node, " ",
+    for (const LogLine& line : context) {
+      bool is_relevant = line.event == "replica_role" || line.event == "disk_failed" ||
+                         line.event == "started" || line.event == "machine_refuses";
+      if (is_relevant) {
+        absl::StrAppend(&changes, changes.empty() ? "; events around it: " : ", ", line.node, " ",
                         line.event);
       }
     }
@@ -193,26 +194,27 @@
                         " ms, so the turn was refused and not run", changes);
   }
   if (verdict == "overloaded") {
-    return CauseOfOverload(own.back().node, around);
+    return CauseOfOverload(own.back().node, context);
   }
   if (outcome == "answered") {
-    return CauseOfAnswer(own, last);
+    return CauseOfResponse(own, last);
   }
   if (outcome == "client_gone") {
-    return "the client left before its answer was whole";
+    return "the client disconnected before the response was complete";
   }
   if (attempt.is_object()) {
     return absl::StrCat("runner ", Field(attempt, "runner"), " ended the last attempt with ",
                         Field(attempt, "end"), " (", Field(attempt, "detail"), ") after ",
-                        Field(attempt, "ms"), " ms; ", Field(last, "sent_to"),
-                        " runners had it, and the route allowed no other");
+                        Field(attempt, "ms"), " ms; the request was sent to ",
+                        Field(last, "sent_to"),
+                        " runners, and the route allowed no further attempt");
   }
   return detail;
 }
 
 }  // namespace
 
-std::vector<LogLine> ReadLines(const std::string& text) {
+std::vector<LogLine> ParseLogLines(const std::string& text) {
   std::vector<LogLine> lines;
   std::istringstream stream(text);
   std::string raw;
@@ -237,24 +239,25 @@
   return lines;
 }
 
-Account Explain(const std::vector<LogLine>& lines, const std::string& request) {
+Explanation Explain(const std::vector<LogLine>& lines, const std::string& request) {
   std::vector<LogLine> own;
   for (const LogLine& line : lines) {
     if (line.request == request) {
       own.push_back(line);
     }
   }
-  Account account;
-  account.outcome = "unknown";
+  Explanation explanation;
+  explanation.outcome = "unknown";
   if (own.empty()) {
-    account.cause = "no line of these logs names it";
-    return account;
+    explanation.cause = "these logs have no line of the request";
+    return explanation;
   }
-  account.found = true;
-  // A process's own order counts: its clock may have been set between its lives.
+  explanation.found = true;
+  // Lines of one process are in the order of their sequence numbers, since its clock may have
+  // changed between runs.
   auto earlier = [](const LogLine& left, const LogLine& right) {
     if (left.node == right.node && left.sequence != right.sequence &&
-        std::abs(left.time_us - right.time_us) < kSurroundingMicros) {
+        std::abs(left.time_us - right.time_us) < kContextMicros) {
       return left.sequence < right.sequence;
     }
     return left.time_us < right.time_us;
@@ -262,29 +265,29 @@
   std::stable_sort(own.begin(), own.end(), earlier);
   std::int64_t first = own.front().time_us;
   std::int64_t last = own.back().time_us;
-  std::vector<LogLine> around;
+  std::vector<LogLine> context;
   for (const LogLine& line : lines) {
-    bool near = line.time_us >= first - kSurroundingMicros && line.time_us <= last;
-    if (line.request.empty() && near && IsSurrounding(line.event)) {
-      around.push_back(line);
+    bool in_range = line.time_us >= first - kContextMicros && line.time_us <= last;
+    if (line.request.empty() && in_range && IsProcessEvent(line.event)) {
+      context.push_back(line);
     }
   }
   for (const LogLine& line : own) {
     if (line.event == "request_ended") {
       json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
-      account.outcome = Field(object, "outcome");
+      explanation.outcome = Field(object, "outcome");
     }
   }
-  account.cause = CauseOf(own, around);
+  explanation.cause = CauseOf(own, context);
   std::vector<LogLine> all = own;
-  all.insert(all.end(), around.begin(), around.end());
+  all.insert(all.end(), context.begin(), context.end());
   std::stable_sort(all.begin(), all.end(), [](const LogLine& left, const LogLine& right) {
     return left.time_us < right.time_us;
   });
   for (const LogLine& line : all) {
-    account.steps.push_back(Describe(line, first));
+    explanation.steps.push_back(Describe(line, first));
   }
-  return account;
+  return explanation;
 }
 
 }  // namespace martenyard::explain
--- a/src/tenancy/tenant.h
+++ b/src/tenancy/tenant.h
@@ -38,7 +38,7 @@
 {
     std::string m_name;
     std::vector<key_hash> m_keys;
-    /// 0 is the most urgent; overrides the priority of the route
+    /// 0 is the most urgent; compared before the priority of the route
     int m_priority = 0;
     rate_limit m_limit;
 };
