--- a/src/gateway/call_coordinator.cc
+++ b/src/gateway/call_coordinator.cc
@@ -31,9 +31,9 @@
     {Verdict::kNotAllowed, 403, "the bundle does not let this program call the service"},
     {Verdict::kKeyReused, 422, "the Idempotency-Key was used for another request"},
     {Verdict::kBudgetExhausted, 409, "the program's budget does not cover this call"},
-    {Verdict::kTooManyCalls, 409, "the program reached its bundle's limit of calls"},
-    {Verdict::kTooLong, 409, "the program exceeded its wall time limit"},
-    {Verdict::kHistoryFull, 409, "the program's history reached its bundle's size limit"},
+    {Verdict::kTooManyCalls, 409, "the program made as many calls as its bundle allows"},
+    {Verdict::kTooLong, 409, "the program's wall time is over"},
+    {Verdict::kHistoryFull, 409, "the program's history is as long as its bundle allows"},
 };
 
 clients::BackendKind BackendKindOf(CallKind kind) {
@@ -97,7 +97,7 @@
     return;
   }
   if (calls_.size() >= options_.max_active) {
-    sink->OnEnd(NotAdmitted(503, "this daemon reached its limit of active calls"));
+    sink->OnEnd(NotAdmitted(503, "this daemon has too many calls under way"));
     return;
   }
   ++stats_.calls_started;
@@ -139,7 +139,7 @@
     return;
   }
   if (ledger_result.status == LedgerResult::Status::kNotProposed) {
-    End(*call, NotAdmitted(503, "the program's ledger is unreachable"));
+    End(*call, NotAdmitted(503, "the program's ledger can't be reached"));
     return;
   }
   if (ledger_result.status == LedgerResult::Status::kUncertain) {
@@ -158,7 +158,7 @@
 
 void CallCoordinator::VoidAdmission(Call& call) {
   call.status_if_not_run = 504;
-  call.reason = "the call was not admitted before its deadline";
+  call.reason = "the call did not get its turn in time";
   ledger::VoidCall command{call.spec.program, call.spec.key, call.spec.request_hash};
   host_.SendLedgerRequest(
       host_.GroupOf(call.spec.program), ledger::Operation(std::move(command)),
@@ -173,7 +173,7 @@
   }
   const auto& record = ledger_result.reply.result.call;
   if (ledger_result.status != LedgerResult::Status::kAnswered || !record) {
-    EndWithUnknownOutcome(*call, 503, "the program's ledger did not reply in time");
+    EndWithUnknownOutcome(*call, 503, "the program's ledger did not answer in time");
     return;
   }
   bool admitted_here = record->state == CallState::kRunning && record->admission == call->admission;
@@ -192,11 +192,11 @@
 
 void CallCoordinator::RejectAdmission(Call& call, Verdict verdict) {
   if (verdict == Verdict::kBusy) {
-    End(call, NotAdmitted(429, "too many calls of this program are queued"));
+    End(call, NotAdmitted(429, "too many calls of this program wait for their turn"));
     return;
   }
   if (verdict == Verdict::kStaleEpoch) {
-    End(call, NotAdmitted(503, "a newer bundle is in force and not yet known to this daemon"));
+    End(call, NotAdmitted(503, "a newer bundle is in force and not yet known here"));
     return;
   }
   for (const Rejection& rejection : kRejections) {
@@ -205,7 +205,7 @@
       return;
     }
   }
-  EndWithUnknownOutcome(call, 503, "the ledger returned an unexpected verdict");
+  EndWithUnknownOutcome(call, 503, "the ledger gave an answer that is not understood");
 }
 
 void CallCoordinator::AcceptGrant(Call& call, const ledger::ApplyResult& result) {
@@ -527,10 +527,8 @@
       return;
     }
     case CallState::kNotRun: {
-      std::string title = call.reason.empty()
-                              ? "an earlier request with this key ended without running the call"
-                              : call.reason;
-      CallEnd end = NotRun(call.status_if_not_run, title + "; its Idempotency-Key is void");
+      std::string title = call.reason.empty() ? "the call was not run before" : call.reason;
+      CallEnd end = NotRun(call.status_if_not_run, title + "; its key is void");
       if (call.status_if_not_run >= 500) {
         end.retry_after_seconds = kRetryAfterSeconds;
       }
@@ -539,8 +537,8 @@
     }
     case CallState::kRunning:
     case CallState::kUnknown:
-      EndWithUnknownOutcome(call, 504,
-                            call.reason.empty() ? "the call may or may not have run" : call.reason);
+      EndWithUnknownOutcome(
+          call, 504, call.reason.empty() ? "it is not known whether the call ran" : call.reason);
       return;
   }
 }
@@ -622,7 +620,7 @@
     return;
   }
   if (call.stage != Stage::kRenewingGrant && !GrantIsFresh(call)) {
-    EndWithUnknownOutcome(call, 503, "the program's ledger is unreachable");
+    EndWithUnknownOutcome(call, 503, "the program's ledger can't be reached");
     return;
   }
   if (host_.Now() < call.spec.deadline) {
@@ -677,8 +675,7 @@
     Call* call = FindGranted(lost);
     // While a result is being committed, the ledger's reply to that decides.
     if (call != nullptr && call->stage != Stage::kCommitting) {
-      EndWithUnknownOutcome(*call, 503,
-                            "this daemon lost its grant for the call, or the program was ended");
+      EndWithUnknownOutcome(*call, 503, "this daemon lost the call, or the program was ended");
     }
   }
   for (const ledger::Grant& grant : renewed) {
--- a/src/gateway/call_request.cc
+++ b/src/gateway/call_request.cc
@@ -100,14 +100,14 @@
   if (spec.kind == CallKind::kModel) {
     if (!body.contains("messages") || !IsMessageList(body["messages"]) ||
         body.contains("arguments")) {
-      return "a model call needs 'messages', a list of objects with strings 'role' and 'content'";
+      return "a model call needs 'messages', a list of objects with texts 'role' and 'content'";
     }
     spec.turn = body["messages"].dump();
     spec.turn_tokens = EstimateTokens(spec.turn);
     return "";
   }
   if (body.contains("messages")) {
-    return "'messages' is for model calls only; tools and applications take 'arguments'";
+    return "'messages' belong to model calls; tools and applications take 'arguments'";
   }
   spec.turn = body.value("arguments", json::object()).dump();
   return "";
@@ -140,7 +140,7 @@
   }
   spec.kind = *kind;
   if (!body.contains("service") || !body["service"].is_string()) {
-    return Invalid(400, "'service' is required and must be a string");
+    return Invalid(400, "'service' is required, a text");
   }
   spec.service = body["service"].get<std::string>();
   std::string turn_problem = ReadTurn(body, spec);
@@ -156,14 +156,14 @@
   }
   std::int64_t max_tokens = kDefaultMaxTokens;
   if (!ReadInteger(body, "max_tokens", kMaxTokensLimit, &max_tokens)) {
-    return Invalid(400,
-                   "'max_tokens' must be an integer from 1 to " + std::to_string(kMaxTokensLimit));
+    return Invalid(
+        400, "'max_tokens' must be a whole number from 1 to " + std::to_string(kMaxTokensLimit));
   }
   spec.max_tokens = spec.kind == CallKind::kModel ? max_tokens : 0;
   std::int64_t deadline_ms = absl::ToInt64Milliseconds(context.default_deadline);
   if (!ReadInteger(body, "deadline_ms", kMaxDeadlineMs, &deadline_ms)) {
-    return Invalid(400,
-                   "'deadline_ms' must be an integer from 1 to " + std::to_string(kMaxDeadlineMs));
+    return Invalid(
+        400, "'deadline_ms' must be a whole number from 1 to " + std::to_string(kMaxDeadlineMs));
   }
   spec.deadline = context.now + absl::Milliseconds(deadline_ms);
   spec.epoch = context.active->epoch;
--- a/src/gateway/call_response.cc
+++ b/src/gateway/call_response.cc
@@ -23,8 +23,8 @@
 /// Another attempt's result was stored while this one's text was streamed. A retry with the same
 /// key returns the stored result without running the call.
 http::Response StoredResultDiffers() {
-  return Problem(409, "the stored result differs from the streamed text", CallState::kUnknown,
-                 kRetryAfterSeconds);
+  return Problem(409, "the answer that is stored is not the one that was streamed",
+                 CallState::kUnknown, kRetryAfterSeconds);
 }
 
 class BufferedSink : public CallSink {
--- a/src/gateway/caller_api.cc
+++ b/src/gateway/caller_api.cc
@@ -58,7 +58,7 @@
 
 http::Response LedgerUnreachable(LedgerResult::Status status) {
   bool known_not_run = status == LedgerResult::Status::kNotProposed;
-  return Problem(503, "the program's ledger is unreachable",
+  return Problem(503, "the program's ledger can't be reached",
                  known_not_run ? CallState::kNotRun : CallState::kUnknown, kRetryAfterSeconds);
 }
 
@@ -100,8 +100,8 @@
   Exchange exchange{request, responder, {}, {}, now};
   const bundle::ActiveBundle* active = Authenticate(BearerToken(request), &exchange.partner);
   if (active == nullptr) {
-    responder->Send(Problem(401, "the bearer token is missing or not in a bundle in force",
-                            CallState::kNotRun));
+    responder->Send(
+        Problem(401, "the bearer token is missing or in no bundle in force", CallState::kNotRun));
     return true;
   }
   if (parts.size() > 2) {
@@ -143,7 +143,7 @@
                                       : JsonResponse(200, DumpJson(CallResponseJson(*call))));
                 });
   } else {
-    responder->Send(Problem(405, "method not allowed on this path", CallState::kNotRun));
+    responder->Send(Problem(405, "no such method on this path", CallState::kNotRun));
   }
 }
 
@@ -164,7 +164,7 @@
     }
   }
   if (body.value("partner", "") != exchange.partner.value) {
-    return refuse(403, "the bearer token does not belong to the named partner");
+    return refuse(403, "the token is not one of the named partner");
   }
   const bundle::ProgramSpec* spec = active.bundle->FindProgram(body.value("program", ""));
   if (spec == nullptr) {
@@ -188,7 +188,7 @@
   if (body.contains("deadline_ms")) {
     std::int64_t deadline = body["deadline_ms"].get<std::int64_t>();
     if (deadline < 1) {
-      return refuse(400, "'deadline_ms' must be a positive integer");
+      return refuse(400, "'deadline_ms' must be a positive whole number");
     }
     command.limits.max_wall_ms = std::min(command.limits.max_wall_ms, deadline);
   }
@@ -222,12 +222,11 @@
             responder->Send(JsonResponse(200, DumpJson(body)));
             break;
           case ledger::Verdict::kProgramConflict:
-            responder->Send(Problem(409, "the program id is already used by another program",
-                                    CallState::kNotRun));
+            responder->Send(
+                Problem(409, "the program id is taken by another program", CallState::kNotRun));
             break;
           default:
-            responder->Send(Problem(503,
-                                    "a newer bundle is in force and not yet known to this daemon",
+            responder->Send(Problem(503, "a newer bundle is in force and not yet known here",
                                     CallState::kNotRun, kRetryAfterSeconds));
             break;
         }
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -60,15 +60,14 @@
     return false;
   }
   if (request.method != "POST") {
-    responder->Send(Problem(405, "method not allowed on this path", CallState::kNotRun));
+    responder->Send(Problem(405, "no such method on this path", CallState::kNotRun));
     return true;
   }
   json body = json::parse(request.body, nullptr, /*allow_exceptions=*/false);
   auto answer = [responder](const OperatorAnswer& result) { responder->Send(ToResponse(result)); };
   if (bundles) {
     if (!HasExactly(body, {"bundle", "signature"}, nullptr)) {
-      responder->Send(Problem(400,
-                              "the body must have exactly the strings 'bundle' and 'signature'",
+      responder->Send(Problem(400, "the body must hold exactly 'bundle' and 'signature', texts",
                               CallState::kNotRun));
       return true;
     }
@@ -77,7 +76,7 @@
   }
   if (!HasExactly(body, {"partner", "bundle_hash", "signature"}, "epoch")) {
     responder->Send(
-        Problem(400, "the body must have exactly 'partner', 'epoch', 'bundle_hash' and 'signature'",
+        Problem(400, "the body must hold exactly 'partner', 'epoch', 'bundle_hash' and 'signature'",
                 CallState::kNotRun));
     return true;
   }
--- a/tests/platform/explain_test.cc
+++ b/tests/platform/explain_test.cc
@@ -183,7 +183,8 @@
   ASSERT_FALSE(world.Ask(request).whole);
   Explanation explanation = ExplainIn(world, "attempt-1");
   EXPECT_EQ(explanation.outcome, "broken");
-  EXPECT_TRUE(absl::StrContains(explanation.cause, "does not continue after the last delivered event"))
+  EXPECT_TRUE(
+      absl::StrContains(explanation.cause, "does not continue after the last delivered event"))
       << explanation.cause;
 }
 
