--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -42,7 +42,7 @@
   stored_index_ = last_index();
   RecomputeConfiguration();
   ResetElectionTimer();
-  election_deadline_ = now_ + (election_deadline_ - now_) * options_.start_wait_share;
+  election_deadline_ = now_ + (election_deadline_ - now_) * options_.first_election_timeout_factor;
 }
 
 // ---- Time ----
@@ -92,7 +92,7 @@
   }
 }
 
-void Raft::OnMemberDead(absl::Time now, NodeId member) {
+void Raft::OnMemberDown(absl::Time now, NodeId member) {
   now_ = std::max(now_, now);
   if (role_ == Role::kLeader || leader_ != member || leader_ == kNoNode) {
     return;
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -22,7 +22,7 @@
   absl::Duration election_timeout = absl::Milliseconds(300);  ///< Drawn from [1, 2) times this.
   /// A replica that just started stands for election after this share of the usual wait: when all
   /// were killed together nobody leads, and a leader that lives keeps the others from voting.
-  double start_wait_share = 1.0;
+  double first_election_timeout_factor = 1.0;
   std::size_t max_entries_per_append = 256;
   std::size_t max_bytes_per_append = std::size_t{1} << 20;
   std::size_t max_inflight_appends = 16;  ///< Appends sent to one follower but not acknowledged.
@@ -64,7 +64,7 @@
   void Step(absl::Time now, NodeId from, const RaftMessage& message);
   /// `member`'s process is known to be dead: if it led, an election starts soon, not after its
   /// lease. Being wrong costs an election, never safety.
-  void OnMemberDead(absl::Time now, NodeId member);
+  void OnMemberDown(absl::Time now, NodeId member);
 
   /// @return the entry's index, or nothing when this replica does not lead (or hands over).
   std::optional<LogIndex> Propose(EntryKind kind, std::string payload);
@@ -77,7 +77,7 @@
   /// for a few election timeouts; asking again meanwhile repeats the message, not the time.
   void TransferLeadership(NodeId to);
   /// True while a hand-over is under way, so that proposals are refused.
-  bool HandsOver() const { return transfer_target_ != kNoNode; }
+  bool IsTransferringLeadership() const { return transfer_target_ != kNoNode; }
   /// The state machine was captured at `snapshot.index`; drops the log up to it.
   void Compact(Snapshot snapshot);
 
--- a/src/consensus/snapshot_schedule.cc
+++ b/src/consensus/snapshot_schedule.cc
@@ -7,16 +7,16 @@
 
 SnapshotSchedule::SnapshotSchedule(std::uint64_t log_bytes, const Snapshot& restored)
     : least_log_bytes_(log_bytes) {
-  NoteInstalled(restored);
+  RecordInstalled(restored);
 }
 
-void SnapshotSchedule::NoteApplied(const Entry& entry) {
+void SnapshotSchedule::RecordApplied(const Entry& entry) {
   applied_ = entry.index;
   applied_term_ = entry.term;
   log_bytes_ += entry.payload.size();
 }
 
-void SnapshotSchedule::NoteInstalled(const Snapshot& snapshot) {
+void SnapshotSchedule::RecordInstalled(const Snapshot& snapshot) {
   applied_ = snapshot.index;
   applied_term_ = snapshot.term;
   log_bytes_ = 0;
--- a/src/consensus/snapshot_schedule.h
+++ b/src/consensus/snapshot_schedule.h
@@ -15,8 +15,8 @@
   /// @param restored the snapshot that the replica started from; index 0 when there was none.
   SnapshotSchedule(std::uint64_t log_bytes, const Snapshot& restored);
 
-  void NoteApplied(const Entry& entry);
-  void NoteInstalled(const Snapshot& snapshot);
+  void RecordApplied(const Entry& entry);
+  void RecordInstalled(const Snapshot& snapshot);
   /// True when a snapshot is worth its cost and the configuration is settled.
   bool Due(const Raft& raft) const;
   /// Drops `raft`'s log up to what was applied. @param data the state at that point.
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -640,7 +640,7 @@
       continue;
     }
     HandOver& last = hand_overs_[group];
-    if (raft.HandsOver()) {
+    if (raft.IsTransferringLeadership()) {
       raft.TransferLeadership(last.target);  // The order may have been lost.
       continue;
     }
--- a/src/daemon/replica_host.cc
+++ b/src/daemon/replica_host.cc
@@ -82,7 +82,7 @@
 
 void ReplicaHost::OnMemberDead(absl::Time now, NodeId member, absl::Time died_before) {
   for (auto& [group, replica] : replicas_) {
-    replica->OnMemberDead(now, member, died_before);
+    replica->OnMemberDown(now, member, died_before);
   }
 }
 
--- a/src/ledger/group_replica.cc
+++ b/src/ledger/group_replica.cc
@@ -57,9 +57,9 @@
   WatchLeadership();
 }
 
-void GroupReplica::OnMemberDead(absl::Time now, NodeId member, absl::Time died_before) {
+void GroupReplica::OnMemberDown(absl::Time now, NodeId member, absl::Time died_before) {
   now_ = std::max(now_, now);
-  raft_.OnMemberDead(now_, member);
+  raft_.OnMemberDown(now_, member);
   dead_members_[member] = died_before;
   for (const ProgramId& program : ledger_.running()) {
     if (ledger_.Find(program)->Running()->gateway == member) {
@@ -298,7 +298,7 @@
   if (ready.snapshot_to_install) {
     const consensus::Snapshot& snapshot = *ready.snapshot_to_install;
     ledger_.Restore(snapshot.data);
-    snapshots_.NoteInstalled(snapshot);
+    snapshots_.RecordInstalled(snapshot);
   }
   for (const consensus::Entry& entry : ready.committed) {
     ApplyEntry(entry);
@@ -314,7 +314,7 @@
 }
 
 void GroupReplica::ApplyEntry(const consensus::Entry& entry) {
-  snapshots_.NoteApplied(entry);
+  snapshots_.RecordApplied(entry);
   auto proposal = proposals_.extract(entry.index);
   if (entry.kind != consensus::EntryKind::kCommand) {
     return;
--- a/src/ledger/group_replica.h
+++ b/src/ledger/group_replica.h
@@ -43,7 +43,7 @@
   void OnRaftMessage(absl::Time now, NodeId from, const consensus::RaftMessage& message);
   /// `member`'s process is known to have died before `died_before`: calls that it had begun by
   /// then lapse now. A process that came back since runs on.
-  void OnMemberDead(absl::Time now, NodeId member, absl::Time died_before);
+  void OnMemberDown(absl::Time now, NodeId member, absl::Time died_before);
   void OnRequest(absl::Time now, NodeId from, const LedgerRequest& request);
   /// Proposes what the leader itself decides, such as acknowledged releases.
   void ProposeOwn(Operation operation);
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -72,7 +72,7 @@
   turn_ledger::ReplicaOptions options;
   options.raft.election_timeout = ElectionTimeout(settings);
   options.raft.heartbeat_interval = absl::Milliseconds(60);
-  options.raft.start_wait_share = 0.4;
+  options.raft.first_election_timeout_factor = 0.4;
   options.planner.replicas = ReplicasPerGroup(settings);
   options.quota = settings.quota;
   options.planner.group = group.value;
--- a/src/turn_ledger/turn_replica.cc
+++ b/src/turn_ledger/turn_replica.cc
@@ -93,7 +93,7 @@
 
 void TurnReplica::OnMachineDown(absl::Time now, NodeId identity) {
   now_ = std::max(now_, now);
-  raft_.OnMemberDead(now_, identity);
+  raft_.OnMemberDown(now_, identity);
 }
 
 void TurnReplica::TransferLeadership() {
@@ -326,7 +326,7 @@
   if (ready.snapshot_to_install) {
     const consensus::Snapshot& snapshot = *ready.snapshot_to_install;
     RestoreState(snapshot);
-    snapshot_schedule_.NoteInstalled(snapshot);
+    snapshot_schedule_.RecordInstalled(snapshot);
     snapshot_in_progress_.reset();  // The installed one is newer.
   }
   for (const consensus::Entry& entry : ready.committed) {
@@ -353,7 +353,7 @@
   if (unreadable_index_) {
     return;
   }
-  snapshot_schedule_.NoteApplied(entry);
+  snapshot_schedule_.RecordApplied(entry);
   auto proposal = proposals_.extract(entry.index);
   if (entry.kind != consensus::EntryKind::kCommand) {
     return;
