--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -9,13 +9,13 @@
 namespace {
 
 /// Within this share of an election timeout replicas stand for election when the leader is dead.
-constexpr double kEagerElectionShare = 0.3;
+constexpr double kLeaderDownTimeoutFactor = 0.3;
 /// How many election timeouts a hand-over of leadership may take before proposals resume.
 constexpr int kTransferTimeouts = 3;
 /// A follower that shows no progress for this many election timeouts gets its snapshot again.
 constexpr int kSnapshotRetryTimeouts = 4;
 
-std::size_t VotersThatDiffer(const Configuration& left, const Configuration& right) {
+std::size_t CountDifferingVoters(const Configuration& left, const Configuration& right) {
   std::size_t count = 0;
   for (NodeId voter : left.voters) {
     count += right.IsVoter(voter) ? 0 : 1;
@@ -81,13 +81,13 @@
 
 void Raft::CheckQuorum() {
   quorum_check_at_ = now_ + options_.election_timeout;
-  std::size_t in_contact = 0;
+  std::size_t reachable = 0;
   for (NodeId voter : configuration_.voters) {
     bool recent =
         voter == self_ || progress_[voter].last_contact + options_.election_timeout >= now_;
-    in_contact += recent ? 1 : 0;
+    reachable += recent ? 1 : 0;
   }
-  if (in_contact < configuration_.QuorumSize()) {
+  if (reachable < configuration_.QuorumSize()) {
     BecomeFollower(hard_state_.term, kNoNode);
   }
 }
@@ -100,7 +100,8 @@
   leader_ = kNoNode;
   last_leader_contact_ = absl::InfinitePast();
   // Spread out, so that one replica is usually elected before the next one tries.
-  election_deadline_ = now_ + options_.election_timeout * kEagerElectionShare * random_.Uniform();
+  election_deadline_ =
+      now_ + options_.election_timeout * kLeaderDownTimeoutFactor * random_.Uniform();
 }
 
 // ---- Elections ----
@@ -116,7 +117,7 @@
     }
     pending_reads_.clear();
     progress_.clear();
-    round_begun_.clear();
+    round_started_.clear();
     transfer_target_ = kNoNode;
   }
   role_ = Role::kFollower;
@@ -213,11 +214,11 @@
     BecomeFollower(reply.term, kNoNode);
     return;
   }
-  bool answers_pre_vote = role_ == Role::kPreCandidate && reply.pre_vote &&
-                          (!reply.granted || reply.term == hard_state_.term + 1);
-  bool answers_vote =
+  bool is_pre_vote_reply = role_ == Role::kPreCandidate && reply.pre_vote &&
+                           (!reply.granted || reply.term == hard_state_.term + 1);
+  bool is_vote_reply =
       role_ == Role::kCandidate && !reply.pre_vote && reply.term == hard_state_.term;
-  if (answers_pre_vote || answers_vote) {
+  if (is_pre_vote_reply || is_vote_reply) {
     CountVote(from, reply.granted);
   }
 }
@@ -295,10 +296,10 @@
     return;
   }
   AppendReceived(request.entries);
-  LogIndex known_equal = request.previous_index + request.entries.size();
-  commit_ = std::max(commit_, std::min(request.commit, known_equal));
+  LogIndex last_matching = request.previous_index + request.entries.size();
+  commit_ = std::max(commit_, std::min(request.commit, last_matching));
   reply.success = true;
-  reply.match = known_equal;
+  reply.match = last_matching;
   Reply(from, reply);
 }
 
@@ -316,7 +317,7 @@
   progress.acknowledged_round = std::max(progress.acknowledged_round, reply.round);
   AdvanceReads();
   if (!reply.success) {
-    OnAppendRefused(from, progress, reply);
+    OnAppendRejected(from, progress, reply);
     return;
   }
   if (reply.match > progress.match) {
@@ -336,7 +337,7 @@
   MaybeFinishTransfer(from);
 }
 
-void Raft::OnAppendRefused(NodeId from, Progress& progress, const AppendReply& reply) {
+void Raft::OnAppendRejected(NodeId from, Progress& progress, const AppendReply& reply) {
   bool late =
       reply.previous <= progress.match || (progress.probing && reply.previous != progress.next - 1);
   if (late) {
@@ -399,7 +400,7 @@
   if (!LeaderIsCurrent() || !ConfigurationIsCommitted() || next.voters.empty()) {
     return false;
   }
-  if (VotersThatDiffer(configuration_, next) > 1) {
+  if (CountDifferingVoters(configuration_, next) > 1) {
     return false;
   }
   return Propose(EntryKind::kConfiguration, wire::Encode(next)).has_value();
@@ -420,8 +421,8 @@
 }
 
 void Raft::BeginRound() {
-  round_begun_[++round_] = now_;
-  round_begun_.erase(round_begun_.begin(), round_begun_.lower_bound(ConfirmedRound()));
+  round_started_[++round_] = now_;
+  round_started_.erase(round_started_.begin(), round_started_.lower_bound(ConfirmedRound()));
 }
 
 std::uint64_t Raft::ConfirmedRound() const {
@@ -440,8 +441,8 @@
   if (!LeaderIsCurrent() || transfer_target_ != kNoNode) {
     return false;
   }
-  auto begun = round_begun_.find(ConfirmedRound());
-  return begun != round_begun_.end() && now < begun->second + options_.election_timeout;
+  auto begun = round_started_.find(ConfirmedRound());
+  return begun != round_started_.end() && now < begun->second + options_.election_timeout;
 }
 
 void Raft::AdvanceReads() {
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -143,7 +143,7 @@
   void OnVoteReply(NodeId from, const VoteReply& reply);
   void OnAppendRequest(NodeId from, const AppendRequest& request);
   void OnAppendReply(NodeId from, const AppendReply& reply);
-  void OnAppendRefused(NodeId from, Progress& progress, const AppendReply& reply);
+  void OnAppendRejected(NodeId from, Progress& progress, const AppendReply& reply);
   void OnSnapshotRequest(NodeId from, const SnapshotRequest& request);
   void OnTimeoutNow(const TimeoutNow& request);
 
@@ -203,7 +203,7 @@
   NodeId transfer_target_;
   absl::Time transfer_deadline_;
   std::uint64_t round_ = 0;
-  std::map<std::uint64_t, absl::Time> round_begun_;  // Rounds not older than the confirmed one.
+  std::map<std::uint64_t, absl::Time> round_started_;  // Rounds not older than the confirmed one.
   std::vector<PendingRead> pending_reads_;
 
   Ready ready_;
--- a/src/consensus/snapshot_schedule.cc
+++ b/src/consensus/snapshot_schedule.cc
@@ -6,7 +6,7 @@
 namespace martenyard::consensus {
 
 SnapshotSchedule::SnapshotSchedule(std::uint64_t log_bytes, const Snapshot& restored)
-    : least_log_bytes_(log_bytes) {
+    : min_log_bytes_(log_bytes) {
   RecordInstalled(restored);
 }
 
@@ -24,8 +24,7 @@
 }
 
 bool SnapshotSchedule::Due(const Raft& raft) const {
-  return log_bytes_ >= std::max(least_log_bytes_, snapshot_bytes_) &&
-         raft.ConfigurationIsCommitted();
+  return log_bytes_ >= std::max(min_log_bytes_, snapshot_bytes_) && raft.ConfigurationIsCommitted();
 }
 
 Snapshot SnapshotSchedule::Take(Raft& raft, std::string data) {
--- a/src/consensus/snapshot_schedule.h
+++ b/src/consensus/snapshot_schedule.h
@@ -28,7 +28,7 @@
   LogIndex applied() const { return applied_; }
 
  private:
-  std::uint64_t least_log_bytes_;
+  std::uint64_t min_log_bytes_;
   LogIndex applied_ = 0;
   Term applied_term_ = 0;
   std::uint64_t log_bytes_ = 0;       // Applied since the last snapshot.
