--- a/src/storage/small_file.cc
+++ b/src/storage/small_file.cc
@@ -65,7 +65,7 @@
   return bytes.str();
 }
 
-std::string MakeFolder(const std::string& path) {
+std::string CreateDirectories(const std::string& path) {
   std::error_code error;
   bool made = std::filesystem::create_directories(path, error);
   if (error) {
--- a/src/storage/small_file.h
+++ b/src/storage/small_file.h
@@ -16,6 +16,6 @@
 
 /// Makes the folder, if it is missing, so that it is there after a loss of power.
 /// @return what failed, or nothing.
-std::string MakeFolder(const std::string& path);
+std::string CreateDirectories(const std::string& path);
 
 }  // namespace martenyard::storage
