--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -213,7 +213,7 @@
   for (auto& [group, stored_group] : stored.groups) {
     StartReplica(group, {stored_group.hard_state, std::move(stored_group.snapshot),
                          std::move(stored_group.entries)})
-        .OnStoredEntries(stored_group.kept);
+        .OnStoredEntries(stored_group.retained);
   }
   return {};
 }
@@ -290,11 +290,11 @@
     write.snapshot = ready.snapshot_to_install;
     write.snapshot_replaces_log = ready.snapshot_to_install.has_value();
     if (write.snapshot) {
-      write.kept = turn_ledger::TurnReplica::EntriesReferencedBy(*write.snapshot);
+      write.retained = turn_ledger::TurnReplica::EntriesReferencedBy(*write.snapshot);
     }
     write.entries = std::move(ready.entries_to_store);
     if (write.hard_state || write.snapshot || !write.entries.empty()) {
-      write.forgotten = replica->TakeUnreferencedEntries();
+      write.unreferenced = replica->TakeUnreferencedEntries();
       writes.push_back(std::move(write));
     }
     readies.emplace_back(group, std::move(ready));
@@ -354,7 +354,7 @@
   write.group = group;
   write.snapshot = std::move(*step->finished);
   write.snapshot_in_parts = true;
-  write.kept = std::move(step->kept);
+  write.retained = std::move(step->kept);
   if (Store({write})) {
     replica.FinishSnapshot();
     log_.Write(Line("snapshot_stored")
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -37,9 +37,9 @@
   bool snapshot_replaces_log = false;
   /// With a snapshot: entries up to its index that stay readable by `ReadEntry`, in rising order.
   /// All others up to that index are dropped.
-  std::vector<consensus::LogIndex> kept;
+  std::vector<consensus::LogIndex> retained;
   /// Kept entries that nobody needs any more.
-  std::vector<consensus::LogIndex> forgotten;
+  std::vector<consensus::LogIndex> unreferenced;
   /// Replace the stored log from the first entry's index on.
   std::vector<consensus::Entry> entries;
   /// Forgets the group but for a mark that this node left it.
@@ -52,7 +52,7 @@
   consensus::Snapshot snapshot;
   std::vector<consensus::Entry> entries;  ///< After the snapshot.
   /// Entries that `ReadEntry` knows beside those: kept ones, staged ones, and what a crash left.
-  std::vector<consensus::LogIndex> kept;
+  std::vector<consensus::LogIndex> retained;
   bool removed = false;
 };
 
--- a/src/storage/memory_log_store.cc
+++ b/src/storage/memory_log_store.cc
@@ -62,9 +62,9 @@
         return std::make_optional(entry);
       }
     }
-    auto kept = kept_[group].find(wanted.index);
-    bool found = kept != kept_[group].end() && matches(kept->second);
-    return found ? std::make_optional(kept->second) : std::nullopt;
+    auto retained = kept_[group].find(wanted.index);
+    bool found = retained != kept_[group].end() && matches(retained->second);
+    return found ? std::make_optional(retained->second) : std::nullopt;
   }
 
   bool IsDurable() const override { return durable_; }
@@ -72,31 +72,31 @@
  private:
   /// Takes the entries that a snapshot leaves readable out of the log, before it is cut.
   void KeepEntries(const GroupWrite& write, const StoredGroup& group) {
-    std::map<consensus::LogIndex, consensus::Entry>& kept = kept_[write.group];
+    std::map<consensus::LogIndex, consensus::Entry>& retained = kept_[write.group];
     if (write.removed) {
-      kept.clear();
+      retained.clear();
     }
     for (const consensus::Entry& entry : group.entries) {
       bool wanted = write.snapshot && entry.index <= write.snapshot->index &&
-                    std::binary_search(write.kept.begin(), write.kept.end(), entry.index);
+                    std::binary_search(write.retained.begin(), write.retained.end(), entry.index);
       if (wanted) {
-        kept.emplace(entry.index, entry);  // A staged one is the leader's, and stays.
+        retained.emplace(entry.index, entry);  // A staged one is the leader's, and stays.
       }
     }
     if (write.snapshot) {
-      std::erase_if(kept, [&](const auto& entry) {
-        return !std::binary_search(write.kept.begin(), write.kept.end(), entry.first);
+      std::erase_if(retained, [&](const auto& entry) {
+        return !std::binary_search(write.retained.begin(), write.retained.end(), entry.first);
       });
     }
-    for (consensus::LogIndex index : write.forgotten) {
-      kept.erase(index);
+    for (consensus::LogIndex index : write.unreferenced) {
+      retained.erase(index);
     }
   }
 
   void ListKept(GroupId id, StoredGroup& group) {
-    group.kept.clear();
+    group.retained.clear();
     for (const auto& [index, entry] : kept_[id]) {
-      group.kept.push_back(index);
+      group.retained.push_back(index);
     }
   }
 
--- a/src/storage/rocksdb_log_store.cc
+++ b/src/storage/rocksdb_log_store.cc
@@ -309,7 +309,7 @@
     for (cursor.Seek(prefix); cursor.Valid() && cursor.key().starts_with(prefix); cursor.Next()) {
       consensus::LogIndex index = IndexOf(cursor.key(), prefix);
       if (index <= stored.snapshot.index) {
-        stored.kept.push_back(index);
+        stored.retained.push_back(index);
         continue;
       }
       auto entry = Unseal<consensus::Entry>(cursor.value().ToStringView());
@@ -320,7 +320,7 @@
     }
     std::string staged = GroupKey('t', group);
     for (cursor.Seek(staged); cursor.Valid() && cursor.key().starts_with(staged); cursor.Next()) {
-      stored.kept.push_back(IndexOf(cursor.key(), staged));
+      stored.retained.push_back(IndexOf(cursor.key(), staged));
     }
     return cursor.status().ok();
   }
@@ -399,7 +399,8 @@
   /// Deletes the stored log below `end` but for what is kept. Such ranges never overlap:
   /// overlapping ones make reading cost their square.
   static void DropBelow(GroupId group, consensus::LogIndex end, StoredRange& range,
-                        const std::vector<consensus::LogIndex>& kept, rocksdb::WriteBatch& batch) {
+                        const std::vector<consensus::LogIndex>& retained,
+                        rocksdb::WriteBatch& batch) {
     end = std::min(end, range.end);
     auto drop = [&](consensus::LogIndex from, consensus::LogIndex to) {
       if (to - from > kMostSingleDeletes) {
@@ -410,8 +411,8 @@
         batch.Delete(EntryKey(group, index));
       }
     };
-    auto next = std::lower_bound(kept.begin(), kept.end(), range.first);
-    for (; next != kept.end() && *next < end; ++next) {
+    auto next = std::lower_bound(retained.begin(), retained.end(), range.first);
+    for (; next != retained.end() && *next < end; ++next) {
       drop(range.first, *next);
       range.first = *next + 1;
     }
@@ -423,14 +424,14 @@
 
   /// Deletes the log, what was kept and what was staged, but for `kept`. Only when a snapshot came
   /// from the leader: it looks at every key.
-  void DropAllBut(GroupId group, const std::vector<consensus::LogIndex>& kept,
+  void DropAllBut(GroupId group, const std::vector<consensus::LogIndex>& retained,
                   rocksdb::WriteBatch& batch) {
     std::unique_ptr<rocksdb::Iterator> cursor(db_->NewIterator(rocksdb::ReadOptions()));
     for (char kind : {'e', 't'}) {
       std::string prefix = GroupKey(kind, group);
       for (cursor->Seek(prefix); cursor->Valid() && cursor->key().starts_with(prefix);
            cursor->Next()) {
-        if (!std::binary_search(kept.begin(), kept.end(), IndexOf(cursor->key(), prefix))) {
+        if (!std::binary_search(retained.begin(), retained.end(), IndexOf(cursor->key(), prefix))) {
           batch.Delete(cursor->key());
         }
       }
@@ -470,10 +471,10 @@
     }
     if (write.snapshot) {
       if (write.snapshot_replaces_log) {
-        DropAllBut(group, write.kept, batch);
+        DropAllBut(group, write.retained, batch);
         range.first = range.end;
       } else {
-        DropBelow(group, write.snapshot->index + 1, range, write.kept, batch);
+        DropBelow(group, write.snapshot->index + 1, range, write.retained, batch);
       }
       SnapshotRecord& record = snapshots_[group];
       const consensus::Snapshot& snapshot = *write.snapshot;
@@ -484,7 +485,7 @@
                         PartKey(group, record.generation, 0));
       dropped_below_[group] = record.generation;
     }
-    for (consensus::LogIndex index : write.forgotten) {
+    for (consensus::LogIndex index : write.unreferenced) {
       batch.Delete(EntryKey(group, index));
       batch.Delete(StagedKey(group, index));
     }
--- a/tests/storage/log_store_test.cc
+++ b/tests/storage/log_store_test.cc
@@ -129,11 +129,11 @@
   EXPECT_TRUE(group.entries.empty());
 }
 
-GroupWrite SnapshotAt(std::uint64_t index, std::vector<consensus::LogIndex> kept) {
+GroupWrite SnapshotAt(std::uint64_t index, std::vector<consensus::LogIndex> retained) {
   GroupWrite write;
   write.group = GroupId(1);
   write.snapshot = consensus::Snapshot{index, 1, {}, "image"};
-  write.kept = std::move(kept);
+  write.retained = std::move(retained);
   return write;
 }
 
@@ -151,7 +151,7 @@
     StoredGroup group = Reopened();
     ASSERT_EQ(group.entries.size(), 2U);
     EXPECT_EQ(group.entries.front().index, 7U) << "kept entries are no part of the log";
-    EXPECT_EQ(group.kept, (std::vector<consensus::LogIndex>{2, 5}));
+    EXPECT_EQ(group.retained, (std::vector<consensus::LogIndex>{2, 5}));
     for (std::uint64_t index = 1; index <= 8; ++index) {
       bool there = index == 2 || index == 5 || index > 6;
       EXPECT_EQ(CanRead(*store_, index, 1), there) << index;
@@ -162,7 +162,7 @@
   store_->Write({SnapshotAt(11, {5, 8, 10})});
   GroupWrite forget;
   forget.group = GroupId(1);
-  forget.forgotten = {5};
+  forget.unreferenced = {5};
   store_->Write({forget});
   StoredGroup group = Reopened();
   EXPECT_FALSE(CanRead(*store_, 5, 1));
@@ -249,7 +249,7 @@
   std::uint64_t last = 0;      // Index of the log's end.
   std::uint64_t snapshot = 0;  // Its index.
   std::uint64_t term = 1;
-  std::vector<consensus::LogIndex> kept;
+  std::vector<consensus::LogIndex> retained;
   auto steps = *rc::gen::inRange(1, 9);
   for (int step = 0; step < steps; ++step) {
     switch (*rc::gen::inRange(0, 5)) {
@@ -271,16 +271,17 @@
         std::uint64_t at = *rc::gen::inRange<std::uint64_t>(snapshot, last + 1);
         std::vector<consensus::LogIndex> wanted = SomeOf(snapshot + 1, at);
         // What was forgotten before can't be wanted again.
-        kept.insert(kept.end(), wanted.begin(), wanted.end());
+        retained.insert(retained.end(), wanted.begin(), wanted.end());
         snapshot = at;
-        stores.Write(SnapshotAt(at, kept));
+        stores.Write(SnapshotAt(at, retained));
         break;
       }
       case 3: {
         GroupWrite write;
-        std::size_t count = *rc::gen::inRange<std::size_t>(0, kept.size() + 1);
-        write.forgotten.assign(kept.begin(), kept.begin() + static_cast<std::ptrdiff_t>(count));
-        kept.erase(kept.begin(), kept.begin() + static_cast<std::ptrdiff_t>(count));
+        std::size_t count = *rc::gen::inRange<std::size_t>(0, retained.size() + 1);
+        write.unreferenced.assign(retained.begin(),
+                                  retained.begin() + static_cast<std::ptrdiff_t>(count));
+        retained.erase(retained.begin(), retained.begin() + static_cast<std::ptrdiff_t>(count));
         stores.Write(write);
         break;
       }
@@ -288,11 +289,11 @@
         // A leader's snapshot, with the entries that it names sent ahead.
         ++term;
         snapshot = last + *rc::gen::inRange<std::uint64_t>(1, 5);
-        kept = SomeOf(last + 1, snapshot);
-        for (consensus::LogIndex index : kept) {
+        retained = SomeOf(last + 1, snapshot);
+        for (consensus::LogIndex index : retained) {
           stores.Stage(MakeEntry(index, term));
         }
-        GroupWrite install = SnapshotAt(snapshot, kept);
+        GroupWrite install = SnapshotAt(snapshot, retained);
         install.snapshot_replaces_log = true;
         stores.Write(install);
         last = snapshot;
--- a/tests/turn_ledger/ledger_cluster_test.cc
+++ b/tests/turn_ledger/ledger_cluster_test.cc
@@ -60,7 +60,7 @@
     if (group != stored.groups.end()) {
       const storage::StoredGroup& found = group->second;
       Open(number, {found.hard_state, found.snapshot, found.entries});
-      replicas_[number]->OnStoredEntries(found.kept);
+      replicas_[number]->OnStoredEntries(found.retained);
     }
   }
   void Kill(std::size_t number) {
@@ -217,10 +217,10 @@
       write.snapshot = ready.snapshot_to_install;
       write.snapshot_replaces_log = ready.snapshot_to_install.has_value();
       if (write.snapshot) {
-        write.kept = TurnReplica::EntriesReferencedBy(*write.snapshot);
+        write.retained = TurnReplica::EntriesReferencedBy(*write.snapshot);
       }
       write.entries = ready.entries_to_store;
-      write.forgotten = replica.TakeUnreferencedEntries();
+      write.unreferenced = replica.TakeUnreferencedEntries();
       Store(number, write);
       for (auto* list : {&ready.messages_before_store, &ready.messages_after_store}) {
         for (consensus::Outbound& outbound : *list) {
@@ -248,7 +248,7 @@
       storage::GroupWrite write;
       write.snapshot = std::move(*step->finished);
       write.snapshot_in_parts = true;
-      write.kept = std::move(step->kept);
+      write.retained = std::move(step->kept);
       Store(number, write);
       replicas_[number]->FinishSnapshot();
     }
