--- a/src/storage/durable_mark.cc
+++ b/src/storage/durable_mark.cc
@@ -37,7 +37,7 @@
   return logs;
 }
 
-std::optional<std::uint64_t> ReadDurableMark(const std::string& mark) {
+std::optional<std::uint64_t> DecodeDurableMark(const std::string& mark) {
   if (mark.size() < kMarkBytes) {
     return std::nullopt;
   }
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-std::string WriteDurableMark(std::uint64_t durable) {
+std::string EncodeDurableMark(std::uint64_t durable) {
   std::string number = BigEndian(durable, kNumberBytes);
   return std::string(kMagic, kMagicBytes) + number + BigEndian(StableHash(number), kNumberBytes);
 }
@@ -73,7 +73,7 @@
          at = text.find(magic, at + 1)) {
       std::string mark = text.substr(at, kMarkBytes);
       // One that the log's blocks cut in two is passed over: the next one says as much and more.
-      if (std::optional<std::uint64_t> durable = ReadDurableMark(mark)) {
+      if (std::optional<std::uint64_t> durable = DecodeDurableMark(mark)) {
         last = std::max(last, *durable);
       }
     }
@@ -85,7 +85,7 @@
   return files.FileExists(folder + kMarkedFile).ok();
 }
 
-rocksdb::Status NoteMarksAreWritten(rocksdb::Env& files, const std::string& folder) {
+rocksdb::Status RecordMarksAreWritten(rocksdb::Env& files, const std::string& folder) {
   rocksdb::Status status =
       rocksdb::WriteStringToFile(&files, "1\n", folder + kMarkedFile, /*should_sync=*/true);
   return status.ok() ? SyncFolder(files, folder) : status;
--- a/src/storage/durable_mark.h
+++ b/src/storage/durable_mark.h
@@ -15,7 +15,7 @@
 
 /// @param durable number of the last change that was synced before this mark is written.
 /// @return the mark's bytes, to be written into the log only.
-std::string WriteDurableMark(std::uint64_t durable);
+std::string EncodeDurableMark(std::uint64_t durable);
 
 /// @return the highest whole mark in the folder's write-ahead logs, or 0. Reads all of them.
 std::uint64_t LastDurableMark(rocksdb::Env& files, const std::string& folder);
@@ -24,7 +24,7 @@
 bool MarksAreWritten(rocksdb::Env& files, const std::string& folder);
 
 /// From now on all writes in the folder's write-ahead logs carry marks.
-rocksdb::Status NoteMarksAreWritten(rocksdb::Env& files, const std::string& folder);
+rocksdb::Status RecordMarksAreWritten(rocksdb::Env& files, const std::string& folder);
 
 /// Makes what ended processes wrote to the folder's write-ahead logs durable.
 rocksdb::Status SyncWriteAheadLogs(rocksdb::Env& files, const std::string& folder);
--- a/src/storage/memory_log_store.cc
+++ b/src/storage/memory_log_store.cc
@@ -26,12 +26,12 @@
     }
     for (const GroupWrite& write : writes) {
       StoredGroup& group = node_.groups[write.group];
-      KeepEntries(write, group);
+      RetainEntries(write, group);
       ApplyWrite(write, group);
       if (write.snapshot && write.snapshot_in_parts) {
         group.snapshot.data = std::exchange(parts_[write.group], "");
       }
-      ListKept(write.group, group);
+      UpdateRetained(write.group, group);
     }
     return {};
   }
@@ -46,8 +46,8 @@
 
   Result<void> StageEntry(GroupId group, const consensus::Entry& entry) override {
     if (durable_) {
-      kept_[group][entry.index] = entry;
-      ListKept(group, node_.groups[group]);
+      retained_entries_[group][entry.index] = entry;
+      UpdateRetained(group, node_.groups[group]);
     }
     return {};
   }
@@ -62,8 +62,8 @@
         return std::make_optional(entry);
       }
     }
-    auto retained = kept_[group].find(wanted.index);
-    bool found = retained != kept_[group].end() && matches(retained->second);
+    auto retained = retained_entries_[group].find(wanted.index);
+    bool found = retained != retained_entries_[group].end() && matches(retained->second);
     return found ? std::make_optional(retained->second) : std::nullopt;
   }
 
@@ -71,8 +71,8 @@
 
  private:
   /// Takes the entries that a snapshot leaves readable out of the log, before it is cut.
-  void KeepEntries(const GroupWrite& write, const StoredGroup& group) {
-    std::map<consensus::LogIndex, consensus::Entry>& retained = kept_[write.group];
+  void RetainEntries(const GroupWrite& write, const StoredGroup& group) {
+    std::map<consensus::LogIndex, consensus::Entry>& retained = retained_entries_[write.group];
     if (write.removed) {
       retained.clear();
     }
@@ -93,9 +93,9 @@
     }
   }
 
-  void ListKept(GroupId id, StoredGroup& group) {
+  void UpdateRetained(GroupId id, StoredGroup& group) {
     group.retained.clear();
-    for (const auto& [index, entry] : kept_[id]) {
+    for (const auto& [index, entry] : retained_entries_[id]) {
       group.retained.push_back(index);
     }
   }
@@ -103,7 +103,7 @@
   bool durable_;
   StoredNode node_;
   std::map<GroupId, std::string> parts_;  // Of snapshots that no write has named yet.
-  std::map<GroupId, std::map<consensus::LogIndex, consensus::Entry>> kept_;
+  std::map<GroupId, std::map<consensus::LogIndex, consensus::Entry>> retained_entries_;
 };
 
 }  // namespace
--- a/src/storage/rocksdb_log_store.cc
+++ b/src/storage/rocksdb_log_store.cc
@@ -53,7 +53,7 @@
 constexpr double kFilterBitsPerKey = 10;
 /// Gaps between kept entries up to this length are deleted one by one: each range that was deleted
 /// costs every later reader.
-constexpr consensus::LogIndex kMostSingleDeletes = 64;
+constexpr consensus::LogIndex kMaxSingleDeletes = 64;
 /// A snapshot is written in parts of this size: whole, it would stand in memory several times.
 constexpr std::size_t kPartBytes = std::size_t{256} << 10;
 
@@ -108,33 +108,33 @@
 };
 
 /// Holds compactions to a pace and lets flushes pass.
-class CompactionPacer : public rocksdb::RateLimiter {
+class CompactionRateLimiter : public rocksdb::RateLimiter {
  public:
-  explicit CompactionPacer(std::int64_t bytes_per_second)
-      : pace_(rocksdb::NewGenericRateLimiter(bytes_per_second)) {}
+  explicit CompactionRateLimiter(std::int64_t bytes_per_second)
+      : limiter_(rocksdb::NewGenericRateLimiter(bytes_per_second)) {}
 
   using rocksdb::RateLimiter::Request;
   void Request(const std::int64_t bytes, const rocksdb::Env::IOPriority priority,
                rocksdb::Statistics* statistics) override {
     // Flushes have the high priority; both have the user's while writes wait for a flush.
     if (priority == rocksdb::Env::IO_LOW) {
-      pace_->Request(bytes, priority, statistics);
+      limiter_->Request(bytes, priority, statistics);
     }
   }
   void SetBytesPerSecond(std::int64_t bytes_per_second) override {
-    pace_->SetBytesPerSecond(bytes_per_second);
+    limiter_->SetBytesPerSecond(bytes_per_second);
   }
-  std::int64_t GetSingleBurstBytes() const override { return pace_->GetSingleBurstBytes(); }
+  std::int64_t GetSingleBurstBytes() const override { return limiter_->GetSingleBurstBytes(); }
   std::int64_t GetTotalBytesThrough(const rocksdb::Env::IOPriority priority) const override {
-    return pace_->GetTotalBytesThrough(priority);
+    return limiter_->GetTotalBytesThrough(priority);
   }
   std::int64_t GetTotalRequests(const rocksdb::Env::IOPriority priority) const override {
-    return pace_->GetTotalRequests(priority);
+    return limiter_->GetTotalRequests(priority);
   }
-  std::int64_t GetBytesPerSecond() const override { return pace_->GetBytesPerSecond(); }
+  std::int64_t GetBytesPerSecond() const override { return limiter_->GetBytesPerSecond(); }
 
  private:
-  std::unique_ptr<rocksdb::RateLimiter> pace_;
+  std::unique_ptr<rocksdb::RateLimiter> limiter_;
 };
 
 class RocksDbLogStore : public LogStore {
@@ -153,13 +153,13 @@
     cursor->SeekToFirst();
     while (cursor->Valid()) {
       std::string key = cursor->key().ToString();
-      if (IsReadByGroup(key)) {
+      if (IsReadPerGroup(key)) {
         GroupId group = GroupOf(key);
         node.groups[group];
         cursor->Seek(GroupKey(key.front(), GroupId(group.value + 1)));
         continue;
       }
-      if (!IsKnown(key)) {
+      if (!IsKnownRecordType(key)) {
         return leaf::new_error(
             StorageError{StorageError::Code::kLaterFormat,
                          "data folder " + folder_ + " holds records of a later build"});
@@ -330,13 +330,13 @@
   }
 
   /// True for the many records of a group: they are read once its snapshot's place is known.
-  static bool IsReadByGroup(const std::string& key) {
+  static bool IsReadPerGroup(const std::string& key) {
     return key != kIdentityKey && (key.front() == 'e' || key.front() == 't' || key.front() == 'p');
   }
 
-  static bool IsKnown(const std::string& key) {
-    constexpr std::string_view kKindsOfSingleRecords = "hsx";
-    return key == kIdentityKey || kKindsOfSingleRecords.find(key.front()) != std::string_view::npos;
+  static bool IsKnownRecordType(const std::string& key) {
+    constexpr std::string_view kSingleRecordTypes = "hsx";
+    return key == kIdentityKey || kSingleRecordTypes.find(key.front()) != std::string_view::npos;
   }
 
   static GroupId GroupOf(std::string_view key) {
@@ -403,7 +403,7 @@
                         rocksdb::WriteBatch& batch) {
     end = std::min(end, range.end);
     auto drop = [&](consensus::LogIndex from, consensus::LogIndex to) {
-      if (to - from > kMostSingleDeletes) {
+      if (to - from > kMaxSingleDeletes) {
         batch.DeleteRange(EntryKey(group, from), EntryKey(group, to));
         return;
       }
@@ -424,8 +424,8 @@
 
   /// Deletes the log, what was kept and what was staged, but for `kept`. Only when a snapshot came
   /// from the leader: it looks at every key.
-  void DropAllBut(GroupId group, const std::vector<consensus::LogIndex>& retained,
-                  rocksdb::WriteBatch& batch) {
+  void DropAllExcept(GroupId group, const std::vector<consensus::LogIndex>& retained,
+                     rocksdb::WriteBatch& batch) {
     std::unique_ptr<rocksdb::Iterator> cursor(db_->NewIterator(rocksdb::ReadOptions()));
     for (char kind : {'e', 't'}) {
       std::string prefix = GroupKey(kind, group);
@@ -471,7 +471,7 @@
     }
     if (write.snapshot) {
       if (write.snapshot_replaces_log) {
-        DropAllBut(group, write.retained, batch);
+        DropAllExcept(group, write.retained, batch);
         range.first = range.end;
       } else {
         DropBelow(group, write.snapshot->index + 1, range, write.retained, batch);
@@ -510,7 +510,7 @@
   }
 
   Result<void> WriteMarked(const rocksdb::WriteOptions& options, rocksdb::WriteBatch& batch) {
-    batch.PutLogData(WriteDurableMark(durable_));
+    batch.PutLogData(EncodeDurableMark(durable_));
     rocksdb::Status status = db_->Write(options, &batch);
     if (!status.ok()) {
       return leaf::new_error(StorageError{StorageError::Code::kWriteFailed,
@@ -571,7 +571,7 @@
     status = db->Flush(rocksdb::FlushOptions());
   }
   if (status.ok() && !marked) {
-    status = NoteMarksAreWritten(*options.env, folder);
+    status = RecordMarksAreWritten(*options.env, folder);
   }
   if (!status.ok()) {
     return CannotOpen(folder, status);
@@ -593,7 +593,7 @@
   table.filter_policy.reset(rocksdb::NewBloomFilterPolicy(kFilterBitsPerKey));
   options.table_factory.reset(rocksdb::NewBlockBasedTableFactory(table));
   // Opening is not paced: nobody is served before it is done.
-  options.rate_limiter = std::make_shared<CompactionPacer>(kOpeningBytesPerSecond);
+  options.rate_limiter = std::make_shared<CompactionRateLimiter>(kOpeningBytesPerSecond);
   options.avoid_flush_during_recovery = true;
   options.level0_file_num_compaction_trigger = kFilesBeforeCompaction;
   options.level0_slowdown_writes_trigger = kNoFileLimit;
