--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -138,7 +138,7 @@
     for (GroupMessageTo& message : effects.messages) {
       Send(message.to, std::move(message.message));
     }
-    for (ledger::ReplyTo& reply : effects.replies) {
+    for (ledger::OutgoingLedgerReply& reply : effects.replies) {
       Send(reply.to, std::move(reply.reply));
     }
     busy = !local_.empty();
@@ -562,7 +562,7 @@
       const clients::Backend* engine = backends_.Find(order.engine);
       if (engine == nullptr) {
         if (backends_.IsGone(now_, order.engine)) {
-          replica->ProposeOwn(ledger::AcknowledgeRelease{{order.id}});
+          replica->ProposeInternal(ledger::AcknowledgeRelease{{order.id}});
         }
         continue;
       }
@@ -575,7 +575,7 @@
             releasing_.erase(mark);
             ledger::GroupReplica* owner = replica_host_.Find(group);
             if (gone && owner != nullptr && owner->raft().IsLeader()) {
-              owner->ProposeOwn(ledger::AcknowledgeRelease{{id}});
+              owner->ProposeInternal(ledger::AcknowledgeRelease{{id}});
             }
           });
     }
--- a/src/daemon/replica_host.cc
+++ b/src/daemon/replica_host.cc
@@ -158,7 +158,7 @@
       write.snapshot = std::move(*snapshot);
       pending_writes_.push_back(std::move(write));
     }
-    std::vector<ledger::ReplyTo> replies = replica->TakeReplies();
+    std::vector<ledger::OutgoingLedgerReply> replies = replica->TakeReplies();
     MoveAll(replies, effects.replies);
   }
   return {};
--- a/src/daemon/replica_host.h
+++ b/src/daemon/replica_host.h
@@ -24,7 +24,7 @@
 
 struct HostEffects {
   std::vector<GroupMessageTo> messages;
-  std::vector<ledger::ReplyTo> replies;
+  std::vector<ledger::OutgoingLedgerReply> replies;
 };
 
 class ReplicaHost {
--- a/src/ledger/group_replica.cc
+++ b/src/ledger/group_replica.cc
@@ -14,7 +14,7 @@
 /// Builds differ in what they make of a later attempt that did not run: some void the key, though
 /// an earlier attempt may have run. All of them take "unknown" alike; it costs the attempt's whole
 /// reservation.
-void UseOutcomeOfAllBuilds(FinishCall& finish) {
+void UseCompatibleOutcome(FinishCall& finish) {
   if (finish.outcome == CallState::kNotRun && finish.grant.attempt > kFirstAttempt) {
     finish.outcome = CallState::kUnknown;
   }
@@ -39,11 +39,11 @@
 void GroupReplica::Tick(absl::Time now) {
   now_ = std::max(now_, now);
   raft_.Tick(now_);
-  WatchLeadership();
+  UpdateLeadership();
   if (!LedgerIsCurrent()) {
     return;
   }
-  LapseSilentGrants();
+  LapseExpiredGrants();
   if (now_ >= next_expiry_check_) {
     next_expiry_check_ = now_ + kExpiryCheckInterval;
     EndExpiredPrograms();
@@ -54,13 +54,13 @@
                                  const consensus::RaftMessage& message) {
   now_ = std::max(now_, now);
   raft_.Step(now_, from, message);
-  WatchLeadership();
+  UpdateLeadership();
 }
 
 void GroupReplica::OnMemberDown(absl::Time now, NodeId member, absl::Time died_before) {
   now_ = std::max(now_, now);
   raft_.OnMemberDown(now_, member);
-  dead_members_[member] = died_before;
+  down_members_[member] = died_before;
   for (const ProgramId& program : ledger_.running()) {
     if (ledger_.Find(program)->Running()->gateway == member) {
       leases_.erase(program);
@@ -68,18 +68,18 @@
   }
 }
 
-absl::Time GroupReplica::FirstLease(const ProgramId& id) const {
+absl::Time GroupReplica::InitialLeaseExpiry(const ProgramId& id) const {
   const ProgramRecord& program = *ledger_.Find(id);
-  auto dead = dead_members_.find(program.Running()->gateway);
+  auto dead = down_members_.find(program.Running()->gateway);
   // A daemon that came back may run newer calls under the same node id.
   bool ran_there =
-      dead != dead_members_.end() && program.last_activity_ms <= absl::ToUnixMillis(dead->second);
+      dead != down_members_.end() && program.last_activity_ms <= absl::ToUnixMillis(dead->second);
   return ran_there ? now_ : now_ + options_.grant_lease;
 }
 
 // ---- Leadership ----
 
-void GroupReplica::WatchLeadership() {
+void GroupReplica::UpdateLeadership() {
   if (raft_.IsLeader() && !was_leader_) {
     was_leader_ = true;
     leases_.clear();
@@ -87,7 +87,7 @@
     next_expiry_check_ = now_;
   } else if (!raft_.IsLeader() && was_leader_) {
     was_leader_ = false;
-    FailPendingAfterLosingLead();
+    FailPendingRequests();
   }
 }
 
@@ -95,29 +95,29 @@
   return raft_.LeaderIsCurrent() && snapshots_.applied() == raft_.commit_index();
 }
 
-void GroupReplica::FailPendingAfterLosingLead() {
+void GroupReplica::FailPendingRequests() {
   for (const auto& [index, proposal] : proposals_) {
-    AnswerStatus(proposal.requester, ReplyStatus::kUncertain);
+    SendStatus(proposal.requester, ReplyStatus::kUncertain);
   }
   proposals_.clear();
   for (const auto& [program, calls] : waiting_) {
     for (const WaitingCall& call : calls) {
-      AnswerStatus(call.requester, ReplyStatus::kNotLeader);
+      SendStatus(call.requester, ReplyStatus::kNotLeader);
     }
   }
   waiting_.clear();
   for (const auto& [id, query] : queries_) {
-    AnswerStatus(query.requester, ReplyStatus::kNotLeader);
+    SendStatus(query.requester, ReplyStatus::kNotLeader);
   }
   queries_.clear();
   leases_.clear();
 }
 
-void GroupReplica::LapseSilentGrants() {
+void GroupReplica::LapseExpiredGrants() {
   for (const ProgramId& program : ledger_.running()) {
     // A new leader does not know when a grant was last heard of: it gives each a whole lease,
     // unless its gateway is known to be dead.
-    auto lease = leases_.emplace(program, FirstLease(program)).first;
+    auto lease = leases_.emplace(program, InitialLeaseExpiry(program)).first;
     if (lease->second > now_ || lapsing_.contains(program)) {
       continue;
     }
@@ -153,11 +153,11 @@
   now_ = std::max(now_, now);
   Requester requester{from, request.request_id};
   if (!raft_.IsLeader()) {
-    AnswerStatus(requester, ReplyStatus::kNotLeader);
+    SendStatus(requester, ReplyStatus::kNotLeader);
     return;
   }
   if (proposals_.size() + queries_.size() >= options_.max_pending) {
-    AnswerStatus(requester, ReplyStatus::kOverloaded);
+    SendStatus(requester, ReplyStatus::kOverloaded);
     return;
   }
   if (const auto* operation = std::get_if<Operation>(&request.body)) {
@@ -167,7 +167,7 @@
   } else if (const auto* renew = std::get_if<RenewGrants>(&request.body)) {
     OnQuery(requester, *renew);
   } else if (const auto* check = std::get_if<CheckPrograms>(&request.body)) {
-    OnCheck(requester, *check);
+    OnCheckPrograms(requester, *check);
   }
 }
 
@@ -213,7 +213,7 @@
   if (queue.size() >= options_.max_waiting_calls) {
     LedgerReply reply;
     reply.result.verdict = Verdict::kBusy;
-    Answer(call.requester, std::move(reply));
+    SendReply(call.requester, std::move(reply));
     return;
   }
   auto behind = std::find_if(queue.begin(), queue.end(), [&](const WaitingCall& waiting) {
@@ -222,16 +222,18 @@
   queue.insert(behind, std::move(call));
 }
 
-void GroupReplica::ProposeOwn(Operation operation) { Propose(Requester{}, std::move(operation)); }
+void GroupReplica::ProposeInternal(Operation operation) {
+  Propose(Requester{}, std::move(operation));
+}
 
 bool GroupReplica::Propose(const Requester& requester, Operation operation, std::uint64_t arrival) {
   if (auto* finish = std::get_if<FinishCall>(&operation)) {
-    UseOutcomeOfAllBuilds(*finish);
+    UseCompatibleOutcome(*finish);
   }
   Command command{NowMillis(), std::move(operation)};
   auto index = raft_.Propose(consensus::EntryKind::kCommand, wire::Encode(command));
   if (!index) {
-    AnswerStatus(requester, ReplyStatus::kNotLeader);
+    SendStatus(requester, ReplyStatus::kNotLeader);
     return false;
   }
   proposals_[*index] = {raft_.term(), requester, arrival};
@@ -243,11 +245,11 @@
   queries_[last_query_id_] = {requester, std::move(query), std::nullopt};
   if (!raft_.RequestRead(last_query_id_)) {
     queries_.erase(last_query_id_);
-    AnswerStatus(requester, ReplyStatus::kNotLeader);
+    SendStatus(requester, ReplyStatus::kNotLeader);
   }
 }
 
-LedgerReply GroupReplica::AnswerTo(const ReadProgram& read) const {
+LedgerReply GroupReplica::Evaluate(const ReadProgram& read) const {
   LedgerReply reply;
   const ProgramRecord* program = ledger_.Find(read.program);
   if (program == nullptr) {
@@ -258,7 +260,7 @@
   return reply;
 }
 
-LedgerReply GroupReplica::AnswerTo(const RenewGrants& renew) {
+LedgerReply GroupReplica::Evaluate(const RenewGrants& renew) {
   LedgerReply reply;
   for (const Grant& grant : renew.grants) {
     const ProgramRecord* program = ledger_.Find(grant.program);
@@ -274,11 +276,11 @@
   return reply;
 }
 
-void GroupReplica::OnCheck(const Requester& requester, const CheckPrograms& check) {
+void GroupReplica::OnCheckPrograms(const Requester& requester, const CheckPrograms& check) {
   // A stale "over" would drop a live program's context: speed, not correctness. No read round.
   LedgerReply reply;
   if (!LedgerIsCurrent()) {
-    AnswerStatus(requester, ReplyStatus::kNotLeader);
+    SendStatus(requester, ReplyStatus::kNotLeader);
     return;
   }
   for (const ProgramId& id : check.programs) {
@@ -287,7 +289,7 @@
       reply.programs_over.push_back(id);
     }
   }
-  Answer(requester, std::move(reply));
+  SendReply(requester, std::move(reply));
 }
 
 // ---- Applying ----
@@ -334,7 +336,7 @@
     return;
   }
   if (proposal.mapped().term != entry.term) {
-    AnswerStatus(proposal.mapped().requester, ReplyStatus::kUncertain);
+    SendStatus(proposal.mapped().requester, ReplyStatus::kUncertain);
     return;
   }
   LedgerReply reply;
@@ -344,7 +346,7 @@
   if (needs_history) {
     reply.result.history = ledger_.HistoryBefore(begin->program, reply.result.call->sequence);
   }
-  Answer(proposal.mapped().requester, std::move(reply));
+  SendReply(proposal.mapped().requester, std::move(reply));
 }
 
 bool GroupReplica::LostRaceToBegin(const ApplyResult& result) {
@@ -360,7 +362,7 @@
   std::optional<ProgramId> settled;
   if (const auto* begin = std::get_if<BeginCall>(&command.operation)) {
     if (result.verdict == Verdict::kDone) {
-      leases_[begin->program] = FirstLease(begin->program);
+      leases_[begin->program] = InitialLeaseExpiry(begin->program);
     } else {
       settled = begin->program;  // A refused waiter must not block those behind it.
     }
@@ -376,11 +378,11 @@
     if (!ledger_.running().contains(*settled)) {
       leases_.erase(*settled);
     }
-    WakeWaiting(*settled);
+    ProposeNextWaiting(*settled);
   }
 }
 
-void GroupReplica::WakeWaiting(const ProgramId& program) {
+void GroupReplica::ProposeNextWaiting(const ProgramId& program) {
   auto queue = waiting_.find(program);
   if (queue == waiting_.end() || ledger_.running().contains(program)) {
     return;
@@ -390,7 +392,7 @@
   bool proposed = Propose(next.requester, std::move(next.command), next.arrival);
   if (!proposed) {
     for (const WaitingCall& call : queue->second) {
-      AnswerStatus(call.requester, ReplyStatus::kNotLeader);
+      SendStatus(call.requester, ReplyStatus::kNotLeader);
     }
   }
   if (!proposed || queue->second.empty()) {
@@ -406,8 +408,8 @@
       continue;
     }
     LedgerReply reply =
-        std::visit([this](const auto& query) { return AnswerTo(query); }, waiting.query);
-    Answer(waiting.requester, std::move(reply));
+        std::visit([this](const auto& query) { return Evaluate(query); }, waiting.query);
+    SendReply(waiting.requester, std::move(reply));
     pending = queries_.erase(pending);
   }
 }
@@ -419,13 +421,13 @@
   return snapshots_.Take(raft_, ledger_.Serialize());
 }
 
-std::vector<ReplyTo> GroupReplica::TakeReplies() {
-  std::vector<ReplyTo> taken = std::move(replies_);
+std::vector<OutgoingLedgerReply> GroupReplica::TakeReplies() {
+  std::vector<OutgoingLedgerReply> taken = std::move(replies_);
   replies_.clear();
   return taken;
 }
 
-void GroupReplica::Answer(const Requester& requester, LedgerReply reply) {
+void GroupReplica::SendReply(const Requester& requester, LedgerReply reply) {
   if (requester.node == kNoNode) {
     return;
   }
@@ -435,10 +437,10 @@
   replies_.push_back({requester.node, std::move(reply)});
 }
 
-void GroupReplica::AnswerStatus(const Requester& requester, ReplyStatus status) {
+void GroupReplica::SendStatus(const Requester& requester, ReplyStatus status) {
   LedgerReply reply;
   reply.status = status;
-  Answer(requester, std::move(reply));
+  SendReply(requester, std::move(reply));
 }
 
 }  // namespace martenyard::ledger
--- a/src/ledger/group_replica.h
+++ b/src/ledger/group_replica.h
@@ -29,7 +29,7 @@
 };
 
 /// An answer to one requester.
-struct ReplyTo {
+struct OutgoingLedgerReply {
   NodeId to;
   LedgerReply reply;
 };
@@ -46,7 +46,7 @@
   void OnMemberDown(absl::Time now, NodeId member, absl::Time died_before);
   void OnRequest(absl::Time now, NodeId from, const LedgerRequest& request);
   /// Proposes what the leader itself decides, such as acknowledged releases.
-  void ProposeOwn(Operation operation);
+  void ProposeInternal(Operation operation);
 
   /// True when `TakeWork` has something to store, send or apply.
   bool HasWork() const;
@@ -54,7 +54,7 @@
   consensus::Ready TakeReady() { return raft_.TakeReady(); }
   /// Applies what `ready` committed. @return a snapshot to store, if one is due.
   std::optional<consensus::Snapshot> Apply(const consensus::Ready& ready);
-  std::vector<ReplyTo> TakeReplies();
+  std::vector<OutgoingLedgerReply> TakeReplies();
 
   consensus::Raft& raft() { return raft_; }
   const consensus::Raft& raft() const { return raft_; }
@@ -88,27 +88,27 @@
   /// A request whose answer must come from the present leader: it waits for a quorum's word.
   using LeaderQuery = std::variant<ReadProgram, RenewGrants>;
   void OnQuery(const Requester& requester, LeaderQuery query);
-  LedgerReply AnswerTo(const ReadProgram& read) const;
+  LedgerReply Evaluate(const ReadProgram& read) const;
   /// Renews the leases of grants that are still held.
-  LedgerReply AnswerTo(const RenewGrants& renew);
-  void OnCheck(const Requester& requester, const CheckPrograms& check);
+  LedgerReply Evaluate(const RenewGrants& renew);
+  void OnCheckPrograms(const Requester& requester, const CheckPrograms& check);
   void ApplyEntry(const consensus::Entry& entry);
   /// True when a proposed call found another one under way: it waits like a later arrival.
   static bool LostRaceToBegin(const ApplyResult& result);
   void AfterCommand(const Command& command, const ApplyResult& result);
-  void WakeWaiting(const ProgramId& program);
+  void ProposeNextWaiting(const ProgramId& program);
   void ServeQueries();
-  void FailPendingAfterLosingLead();
-  void WatchLeadership();
+  void FailPendingRequests();
+  void UpdateLeadership();
   /// True when this leader's ledger holds all that was ever committed.
   bool LedgerIsCurrent() const;
-  void LapseSilentGrants();
+  void LapseExpiredGrants();
   /// @return when the running call's gateway counts as gone if nothing is heard from it.
-  absl::Time FirstLease(const ProgramId& program) const;
+  absl::Time InitialLeaseExpiry(const ProgramId& program) const;
   void EndExpiredPrograms();
   std::optional<consensus::Snapshot> SnapshotIfDue();
-  void Answer(const Requester& requester, LedgerReply reply);
-  void AnswerStatus(const Requester& requester, ReplyStatus status);
+  void SendReply(const Requester& requester, LedgerReply reply);
+  void SendStatus(const Requester& requester, ReplyStatus status);
   UnixMillis NowMillis() const { return absl::ToUnixMillis(now_); }
 
   GroupId group_;
@@ -126,7 +126,7 @@
   std::map<consensus::LogIndex, Proposal> proposals_;
   std::map<ProgramId, std::deque<WaitingCall>> waiting_;
   std::map<ProgramId, absl::Time> leases_;     // When each running call's gateway counts as gone.
-  std::map<NodeId, absl::Time> dead_members_;  // By when each is known to have died.
+  std::map<NodeId, absl::Time> down_members_;  // By when each is known to have died.
   std::set<ProgramId> lapsing_;                // Lapse proposed, not yet applied.
   std::uint64_t last_query_id_ = 0;
   struct PendingQuery {
@@ -135,7 +135,7 @@
     std::optional<consensus::LogIndex> serve_at;
   };
   std::map<std::uint64_t, PendingQuery> queries_;
-  std::vector<ReplyTo> replies_;
+  std::vector<OutgoingLedgerReply> replies_;
 };
 
 }  // namespace martenyard::ledger
--- a/src/ledger/ledger.cc
+++ b/src/ledger/ledger.cc
@@ -10,9 +10,9 @@
 namespace {
 
 /// A program that ended is kept this long, so that callers can still fetch answers.
-constexpr std::int64_t kKeepEndedMs = std::int64_t{24} * 3600 * 1000;
+constexpr std::int64_t kEndedRetentionMs = std::int64_t{24} * 3600 * 1000;
 
-ApplyResult Refuse(Verdict verdict) {
+ApplyResult WithVerdict(Verdict verdict) {
   ApplyResult result;
   result.verdict = verdict;
   return result;
@@ -72,7 +72,7 @@
 
 UnixMillis ExpiryTime(const ProgramRecord& program) {
   if (program.ended) {
-    return program.last_activity_ms + kKeepEndedMs;
+    return program.last_activity_ms + kEndedRetentionMs;
   }
   UnixMillis idle_end = program.last_activity_ms + program.limits.idle_expiry_ms;
   UnixMillis wall_end = program.created_ms + program.limits.max_wall_ms;
@@ -132,11 +132,11 @@
     bool same = existing->partner == command.partner &&
                 existing->program_kind == command.program_kind &&
                 existing->parent == command.parent;
-    return Refuse(same ? Verdict::kAlready : Verdict::kProgramConflict);
+    return WithVerdict(same ? Verdict::kAlready : Verdict::kProgramConflict);
   }
   std::uint64_t& epoch = epochs_[command.partner];
   if (command.epoch < epoch) {
-    return Refuse(Verdict::kStaleEpoch);
+    return WithVerdict(Verdict::kStaleEpoch);
   }
   epoch = command.epoch;
   ProgramRecord program;
@@ -150,11 +150,11 @@
   program.last_activity_ms = now_ms_;
   expiry_.insert({ExpiryTime(program), program.id});
   programs_.emplace(command.program, std::move(program));
-  return Refuse(Verdict::kDone);
+  return WithVerdict(Verdict::kDone);
 }
 
-std::optional<Verdict> Ledger::RefusalToBegin(const ProgramRecord& program,
-                                              const BeginCall& command) const {
+std::optional<Verdict> Ledger::CheckBegin(const ProgramRecord& program,
+                                          const BeginCall& command) const {
   if (program.ended) {
     return Verdict::kProgramEnded;
   }
@@ -187,17 +187,17 @@
 ApplyResult Ledger::On(const BeginCall& command) {
   ProgramRecord* program = FindMutable(command.program);
   if (program == nullptr || program->partner != command.partner) {
-    return Refuse(Verdict::kUnknownProgram);
+    return WithVerdict(Verdict::kUnknownProgram);
   }
   if (const CallRecord* existing = program->Find(command.key)) {
-    return BeginAgain(*program, const_cast<CallRecord&>(*existing), command);
+    return BeginExisting(*program, const_cast<CallRecord&>(*existing), command);
   }
-  if (std::optional<Verdict> refusal = RefusalToBegin(*program, command)) {
+  if (std::optional<Verdict> refusal = CheckBegin(*program, command)) {
     // These reasons may go away; a late duplicate must not run after "not run" was said.
     if (*refusal == Verdict::kBudgetExhausted || *refusal == Verdict::kNotAllowed) {
       AddVoid(*program, command.key, command.request_hash);
     }
-    return Refuse(*refusal);
+    return WithVerdict(*refusal);
   }
   std::uint64_t& epoch = epochs_[program->partner];
   epoch = std::max(epoch, command.epoch);
@@ -219,9 +219,10 @@
   return Begun(*program, program->calls.back());
 }
 
-ApplyResult Ledger::BeginAgain(ProgramRecord& program, CallRecord& call, const BeginCall& command) {
+ApplyResult Ledger::BeginExisting(ProgramRecord& program, CallRecord& call,
+                                  const BeginCall& command) {
   if (call.request_hash != command.request_hash) {
-    return Refuse(Verdict::kKeyReused);
+    return WithVerdict(Verdict::kKeyReused);
   }
   if (call.state == CallState::kRunning && call.admission == command.admission) {
     return Begun(program, call);  // The same request again, because its answer was lost.
@@ -234,7 +235,7 @@
     return WithCall(Verdict::kAlready, call);
   }
   if (program.ended) {
-    return Refuse(Verdict::kProgramEnded);
+    return WithVerdict(Verdict::kProgramEnded);
   }
   if (program.spent + program.reserved + command.reserve > program.limits.budget_tokens) {
     return WithCall(Verdict::kAlready, call);
@@ -250,14 +251,14 @@
   return Begun(program, call);
 }
 
-CallRecord* Ledger::Granted(ProgramRecord& program, const Grant& grant) {
+CallRecord* Ledger::FindGranted(ProgramRecord& program, const Grant& grant) {
   auto* call = const_cast<CallRecord*>(program.Find(grant.key));
   bool current =
       call != nullptr && call->state == CallState::kRunning && call->attempt == grant.attempt;
   return current ? call : nullptr;
 }
 
-void Ledger::NoteEngine(ProgramRecord& program, const BackendName& engine) {
+void Ledger::RecordEngine(ProgramRecord& program, const BackendName& engine) {
   if (engine.value.empty()) {
     return;
   }
@@ -279,16 +280,16 @@
 ApplyResult Ledger::On(const FinishCall& command) {
   ProgramRecord* program = FindMutable(command.grant.program);
   if (program == nullptr) {
-    return Refuse(Verdict::kUnknownProgram);
+    return WithVerdict(Verdict::kUnknownProgram);
   }
-  CallRecord* call = Granted(*program, command.grant);
+  CallRecord* call = FindGranted(*program, command.grant);
   if (call == nullptr) {
     const CallRecord* stored = program->Find(command.grant.key);
     bool repeated = stored != nullptr && stored->attempt == command.grant.attempt &&
                     stored->state == StateAfter(*stored, command.outcome) &&
                     stored->result == command.result;
     return stored == nullptr
-               ? Refuse(Verdict::kStaleGrant)
+               ? WithVerdict(Verdict::kStaleGrant)
                : WithCall(repeated ? Verdict::kAlready : Verdict::kStaleGrant, *stored);
   }
   // Nobody can use more than was reserved; an attempt of unknown outcome is charged whole.
@@ -300,16 +301,16 @@
     call->result = command.result;
     program->history_bytes += command.result.size();
   }
-  NoteEngine(*program, command.engine);
+  RecordEngine(*program, command.engine);
   Settle(*program, *call, StateAfter(*call, command.outcome), charge);
   return WithCall(Verdict::kDone, *call);
 }
 
 ApplyResult Ledger::On(const LapseCall& command) {
   ProgramRecord* program = FindMutable(command.grant.program);
-  CallRecord* call = program == nullptr ? nullptr : Granted(*program, command.grant);
+  CallRecord* call = program == nullptr ? nullptr : FindGranted(*program, command.grant);
   if (call == nullptr) {
-    return Refuse(Verdict::kStaleGrant);
+    return WithVerdict(Verdict::kStaleGrant);
   }
   Settle(*program, *call, CallState::kUnknown, call->reserved);
   return WithCall(Verdict::kDone, *call);
@@ -318,7 +319,7 @@
 ApplyResult Ledger::On(const VoidCall& command) {
   ProgramRecord* program = FindMutable(command.program);
   if (program == nullptr) {
-    return Refuse(Verdict::kUnknownProgram);
+    return WithVerdict(Verdict::kUnknownProgram);
   }
   if (const CallRecord* existing = program->Find(command.key)) {
     return WithCall(Verdict::kAlready, *existing);
@@ -340,7 +341,7 @@
 ApplyResult Ledger::On(const EndProgram& command) {
   ProgramRecord* program = FindMutable(command.program);
   if (program == nullptr) {
-    return Refuse(Verdict::kUnknownProgram);
+    return WithVerdict(Verdict::kUnknownProgram);
   }
   if (program->ended) {
     // Ending an ended program after its keeping time forgets it.
@@ -348,10 +349,10 @@
       expiry_.erase({ExpiryTime(*program), program->id});
       programs_.erase(command.program);
     }
-    return Refuse(Verdict::kAlready);
+    return WithVerdict(Verdict::kAlready);
   }
   End(*program, command.reason);
-  return Refuse(Verdict::kDone);
+  return WithVerdict(Verdict::kDone);
 }
 
 void Ledger::End(ProgramRecord& program, const std::string& reason) {
@@ -375,7 +376,7 @@
   for (std::uint64_t id : command.ids) {
     outbox_.erase(id);
   }
-  return Refuse(Verdict::kDone);
+  return WithVerdict(Verdict::kDone);
 }
 
 std::string Ledger::Serialize() const {
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -45,16 +45,15 @@
   ApplyResult On(const AcknowledgeRelease& command);
 
   ProgramRecord* FindMutable(const ProgramId& program);
-  ApplyResult BeginAgain(ProgramRecord& program, CallRecord& call, const BeginCall& command);
+  ApplyResult BeginExisting(ProgramRecord& program, CallRecord& call, const BeginCall& command);
   /// Makes the key void: whoever sends the request again, late or in vain, gets the same answer.
   CallRecord& AddVoid(ProgramRecord& program, const CallKey& key, std::uint64_t request_hash);
-  std::optional<Verdict> RefusalToBegin(const ProgramRecord& program,
-                                        const BeginCall& command) const;
+  std::optional<Verdict> CheckBegin(const ProgramRecord& program, const BeginCall& command) const;
   /// @return the running call that `grant` names in its present attempt, or null.
-  CallRecord* Granted(ProgramRecord& program, const Grant& grant);
+  CallRecord* FindGranted(ProgramRecord& program, const Grant& grant);
   void Settle(ProgramRecord& program, CallRecord& call, CallState state, Tokens charge);
   void End(ProgramRecord& program, const std::string& reason);
-  static void NoteEngine(ProgramRecord& program, const BackendName& engine);
+  static void RecordEngine(ProgramRecord& program, const BackendName& engine);
   void Touch(ProgramRecord& program);
 
   UnixMillis now_ms_ = 0;  // The largest time any command carried.
