--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -8,11 +8,11 @@
 namespace martenyard::consensus {
 namespace {
 
-/// Within this share of an election timeout replicas stand for election when the leader is dead.
+/// Election timeout after the leader is reported down, as a fraction of the usual one.
 constexpr double kLeaderDownTimeoutFactor = 0.3;
-/// How many election timeouts a hand-over of leadership may take before proposals resume.
+/// Limit of a leadership transfer in election timeouts; proposals resume after it.
 constexpr int kTransferTimeouts = 3;
-/// A follower that shows no progress for this many election timeouts gets its snapshot again.
+/// The snapshot is resent to a follower without progress for this many election timeouts.
 constexpr int kSnapshotRetryTimeouts = 4;
 
 std::size_t CountDifferingVoters(const Configuration& left, const Configuration& right) {
@@ -99,7 +99,7 @@
   }
   leader_ = kNoNode;
   last_leader_contact_ = absl::InfinitePast();
-  // Spread out, so that one replica is usually elected before the next one tries.
+  // Randomized to make a split vote unlikely.
   election_deadline_ =
       now_ + options_.election_timeout * kLeaderDownTimeoutFactor * random_.Uniform();
 }
@@ -185,8 +185,8 @@
   if (!request.leadership_transfer && InLeaderLease()) {
     return;
   }
-  // Answered by learners too: one that was made a voter may not have heard of it yet, and the
-  // candidate, whose configuration counts, may need its vote. A learner never stands itself.
+  // Learners reply too: one that was promoted to voter may not have received that configuration
+  // yet, and the candidate may need its vote. A learner never becomes a candidate.
   bool up_to_date = LogIsUpToDate(request.last_index, request.last_term);
   VoteReply reply;
   reply.pre_vote = request.pre_vote;
@@ -236,12 +236,12 @@
   progress_.clear();
   SyncProgress();
   for (auto& [member, progress] : progress_) {
-    progress.last_contact = now_;  // A full election timeout to be heard in.
+    progress.last_contact = now_;  // Grants every member a full election timeout.
   }
   quorum_check_at_ = now_ + options_.election_timeout;
   next_heartbeat_ = now_;
-  // The first entry tells the configuration: a founder whom the leader reached before its own
-  // founding has it from nowhere else, and would never stand for election.
+  // The first entry carries the configuration: an initial member that the leader contacted before
+  // its bootstrap has no other source for it and could never become a candidate.
   leader_first_index_ = AppendToLog(EntryKind::kConfiguration, wire::Encode(configuration_));
   LeaderTick();
 }
@@ -283,7 +283,7 @@
   last_leader_contact_ = now_;
   reply.term = hard_state_.term;
   if (request.previous_index < snapshot_.index) {
-    // All up to the snapshot is committed, hence equal: let the leader go on from there.
+    // Entries up to the snapshot are committed and therefore match: continue from there.
     reply.success = true;
     reply.match = snapshot_.index;
     Reply(from, reply);
@@ -338,10 +338,10 @@
 }
 
 void Raft::OnAppendRejected(NodeId from, Progress& progress, const AppendReply& reply) {
-  bool late =
+  bool stale =
       reply.previous <= progress.match || (progress.probing && reply.previous != progress.next - 1);
-  if (late) {
-    return;  // It answers an append from before the present probe.
+  if (stale) {
+    return;  // Reply to an append sent before the current probe.
   }
   progress.probing = true;
   progress.probe_sent = false;
@@ -375,7 +375,7 @@
   const Snapshot& snapshot = request.snapshot;
   reply.match = std::max(snapshot.index, commit_);
   if (snapshot.index > commit_) {
-    // Entries behind the snapshot could conflict with it; the leader sends what it has again.
+    // Entries after the snapshot may conflict with it; the leader resends its own.
     log_.clear();
     snapshot_ = snapshot;
     commit_ = applied_ = stored_index_ = snapshot.index;
@@ -387,7 +387,7 @@
   Reply(from, reply);
 }
 
-// ---- Leading ----
+// ---- Leader ----
 
 std::optional<LogIndex> Raft::Propose(EntryKind kind, std::string payload) {
   if (role_ != Role::kLeader || transfer_target_ != kNoNode) {
@@ -410,8 +410,8 @@
   if (role_ != Role::kLeader) {
     return false;
   }
-  // Before an entry of its own term is committed a leader does not know the commit index; the read
-  // then waits for its first entry.
+  // A leader does not know the commit index until an entry of its own term is committed; the read
+  // waits for that entry.
   LogIndex index = std::max(commit_, leader_first_index_);
   BeginRound();
   pending_reads_.push_back({read_id, round_, index});
@@ -460,7 +460,7 @@
     return;
   }
   if (transfer_target_ == kNoNode) {
-    // Asking again must not put the limit off: nothing can be proposed before it.
+    // A repeated call must not extend the deadline: proposals are rejected until then.
     transfer_deadline_ = now_ + options_.election_timeout * kTransferTimeouts;
   }
   transfer_target_ = to;
@@ -513,12 +513,12 @@
 }
 
 void Raft::SendSnapshot(NodeId to, Progress& progress, bool heartbeat_due) {
-  absl::Duration patience = options_.election_timeout * kSnapshotRetryTimeouts;
-  if (progress.snapshot_sent && now_ < progress.last_progress + patience) {
+  absl::Duration retry_timeout = options_.election_timeout * kSnapshotRetryTimeouts;
+  if (progress.snapshot_sent && now_ < progress.last_progress + retry_timeout) {
     if (!heartbeat_due) {
-      return;  // Its replies to heartbeats must not bring about more of them.
+      return;  // A heartbeat reply must not trigger another heartbeat.
     }
-    // Only a heartbeat, which keeps the follower from standing for election.
+    // A heartbeat without entries keeps the follower from starting an election.
     AppendRequest heartbeat;
     heartbeat.term = hard_state_.term;
     heartbeat.round = round_;
@@ -549,7 +549,7 @@
   }
   std::sort(matches.rbegin(), matches.rend());
   LogIndex quorum_match = matches[configuration_.QuorumSize() - 1];
-  // Only an entry of the leader's own term commits those before it (Raft, section 5.4.2).
+  // Only an entry of the leader's own term commits earlier entries (Raft, section 5.4.2).
   if (quorum_match > commit_ && TermAt(quorum_match) == hard_state_.term) {
     commit_ = quorum_match;
     if (!configuration_.IsVoter(self_) && ConfigurationIsCommitted()) {
@@ -631,10 +631,10 @@
 void Raft::TruncateFrom(LogIndex index) {
   log_.resize(index - snapshot_.index - 1);
   stored_index_ = std::min(stored_index_, index - 1);
-  auto& storing = ready_.entries_to_store;
-  storing.erase(std::remove_if(storing.begin(), storing.end(),
-                               [&](const Entry& entry) { return entry.index >= index; }),
-                storing.end());
+  auto& unstored = ready_.entries_to_store;
+  unstored.erase(std::remove_if(unstored.begin(), unstored.end(),
+                                [&](const Entry& entry) { return entry.index >= index; }),
+                 unstored.end());
   if (configuration_index_ >= index) {
     RecomputeConfiguration();
   }
@@ -662,7 +662,7 @@
 }
 
 void Raft::SyncProgress() {
-  std::map<NodeId, Progress> kept;
+  std::map<NodeId, Progress> updated;
   for (NodeId member : configuration_.Members()) {
     if (member == self_) {
       continue;
@@ -671,9 +671,9 @@
     Progress fresh;
     fresh.next = last_index() + 1;
     fresh.last_contact = now_;
-    kept[member] = found == progress_.end() ? fresh : found->second;
+    updated[member] = found == progress_.end() ? fresh : found->second;
   }
-  progress_ = std::move(kept);
+  progress_ = std::move(updated);
 }
 
 void Raft::Compact(Snapshot snapshot) {
@@ -685,7 +685,7 @@
   snapshot_ = std::move(snapshot);
 }
 
-// ---- Effects ----
+// ---- Output ----
 
 void Raft::Reply(NodeId to, RaftMessage message) {
   ready_.messages_after_store.push_back({to, std::move(message)});
@@ -708,7 +708,7 @@
 }
 
 Ready Raft::TakeReady() {
-  // What the previous Ready carried is stored by now; it counts as this replica's own vote.
+  // The entries of the previous Ready are stored by now and count towards the quorum.
   LogIndex first_unstored =
       ready_.entries_to_store.empty() ? last_index() + 1 : ready_.entries_to_store.front().index;
   stored_index_ = first_unstored - 1;
--- a/src/consensus/raft.h
+++ b/src/consensus/raft.h
@@ -1,7 +1,7 @@
-// One replica of one replicated log: decision code only, no I/O, clock or threads.
+// One replica of a replicated log. Decision logic: no I/O, clock or threads.
 //
-// The owner feeds messages, ticks and proposals in, then takes a `Ready`, stores what it says,
-// sends its messages and applies its committed entries, in the order of the struct's fields.
+// The owner passes in messages, ticks and proposals, then takes a `Ready` and processes its fields
+// in the order of their declaration: store, send, apply.
 #pragma once
 
 #include <cstdint>
@@ -16,43 +16,43 @@
 
 namespace martenyard::consensus {
 
-/// Tunables of one replica.
+/// Tuning parameters of one replica.
 struct RaftOptions {
   absl::Duration heartbeat_interval = absl::Milliseconds(60);
   absl::Duration election_timeout = absl::Milliseconds(300);  ///< Drawn from [1, 2) times this.
-  /// A replica that just started stands for election after this share of the usual wait: when all
-  /// were killed together nobody leads, and a leader that lives keeps the others from voting.
+  /// Scales the first election timeout after a start. Below 1, a group whose replicas all restarted
+  /// elects a leader sooner; an existing leader is protected by pre-vote and its lease.
   double first_election_timeout_factor = 1.0;
   std::size_t max_entries_per_append = 256;
   std::size_t max_bytes_per_append = std::size_t{1} << 20;
-  std::size_t max_inflight_appends = 16;  ///< Appends sent to one follower but not acknowledged.
+  std::size_t max_inflight_appends = 16;  ///< Unacknowledged appends per follower.
 };
 
 enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
 
-/// What a replica had stored when it last stopped.
+/// State that a replica loads at its start.
 struct RestoredState {
   HardState hard_state;
-  Snapshot snapshot;  ///< index 0 when there is none; its configuration is then the initial one.
+  Snapshot snapshot;  ///< Index 0: none; `configuration` is then the initial one.
   std::vector<Entry> entries;
 };
 
-/// A read the leader may serve: it was still leader after the read was asked for.
+/// A read that the leader may serve: its leadership was confirmed after the read was requested.
 struct ReadyRead {
   std::uint64_t read_id = 0;
-  LogIndex index = 0;  ///< Serve once the state machine has applied up to here.
+  LogIndex index = 0;  ///< Serve once this index has been applied.
 };
 
-/// What the owner must do now, top to bottom.
+/// Work for the owner, to be done in the order of the fields.
 struct Ready {
   std::vector<Outbound> messages_before_store;  ///< May be sent at once.
-  std::optional<Snapshot> snapshot_to_install;  ///< Replaces log and state machine.
-  std::optional<HardState> hard_state;          ///< Store with the entries, in one synced write.
-  std::vector<Entry> entries_to_store;          ///< Replace the stored log from the first's index.
+  std::optional<Snapshot> snapshot_to_install;  ///< Replaces the log and the state machine.
+  std::optional<HardState> hard_state;          ///< Store with the entries in one synced write.
+  std::vector<Entry> entries_to_store;          ///< Replace the stored log from the first index.
   std::vector<Outbound> messages_after_store;   ///< Send only once the above is stored.
   std::vector<Entry> committed;                 ///< Apply in order.
   std::vector<ReadyRead> reads;
-  std::vector<std::uint64_t> failed_reads;  ///< Leadership was lost: ask elsewhere.
+  std::vector<std::uint64_t> failed_reads;  ///< Leadership was lost: retry elsewhere.
 };
 
 class Raft {
@@ -62,35 +62,37 @@
 
   void Tick(absl::Time now);
   void Step(absl::Time now, NodeId from, const RaftMessage& message);
-  /// `member`'s process is known to be dead: if it led, an election starts soon, not after its
-  /// lease. Being wrong costs an election, never safety.
+  /// `member`'s process is reported down: if it was the leader, an election starts without waiting
+  /// for its lease. A false report costs an election but does not affect safety.
   void OnMemberDown(absl::Time now, NodeId member);
 
-  /// @return the entry's index, or nothing when this replica does not lead (or hands over).
+  /// @return the entry's index, or nothing when this replica is not leader or is transferring
+  /// leadership.
   std::optional<LogIndex> Propose(EntryKind kind, std::string payload);
-  /// Proposes a configuration differing from the present one in one voter at most.
-  /// @return false when not leader, another change is under way, or more than a voter differs.
+  /// Proposes a configuration that differs from the current one in at most one voter.
+  /// @return false when not leader, another change is in progress, or more than one voter differs.
   bool ProposeConfiguration(const Configuration& next);
-  /// Asks that a read be served by this leader, linearizably. @return false when not leader.
+  /// Requests a linearizable read from this leader. @return false when not leader.
   bool RequestRead(std::uint64_t read_id);
-  /// Hands leadership to `to` once it has the whole log. Proposals are refused until it leads, or
-  /// for a few election timeouts; asking again meanwhile repeats the message, not the time.
+  /// Transfers leadership to `to` once it has the whole log. Proposals are rejected until it leads,
+  /// or for a few election timeouts; a repeated call resends the message but does not extend the
+  /// deadline.
   void TransferLeadership(NodeId to);
-  /// True while a hand-over is under way, so that proposals are refused.
+  /// True while a leadership transfer is in progress and proposals are rejected.
   bool IsTransferringLeadership() const { return transfer_target_ != kNoNode; }
-  /// The state machine was captured at `snapshot.index`; drops the log up to it.
+  /// Drops the log up to `snapshot.index`, where the state machine was captured.
   void Compact(Snapshot snapshot);
 
   bool HasReady() const;
-  /// Moves out what is to be done. The owner must have stored it before the next `TakeReady`.
+  /// Takes the pending work. The owner must have stored it before the next `TakeReady`.
   Ready TakeReady();
 
   Role role() const { return role_; }
   bool IsLeader() const { return role_ == Role::kLeader; }
-  /// True once an entry of the leader's own term is committed: its state is then current.
+  /// True once an entry of the leader's own term is committed, which makes its state current.
   bool LeaderIsCurrent() const;
-  /// True while no other replica can lead: a quorum acknowledged, less than an election timeout
-  /// ago, a message of this leader's, and followers keep from voting for that long after each.
+  /// True while no other replica can be leader: a quorum acknowledged a message that this leader
+  /// sent less than an election timeout ago, and followers do not vote for that long.
   bool HoldsLease(absl::Time now) const;
   Term term() const { return hard_state_.term; }
   NodeId leader() const { return leader_; }
@@ -100,24 +102,24 @@
   std::size_t log_size() const { return log_.size(); }
   const Configuration& configuration() const { return configuration_; }
   bool ConfigurationIsCommitted() const { return configuration_index_ <= commit_; }
-  /// @return how far `member` is known to have the log; 0 when not leading.
+  /// @return the last index that `member` is known to have stored; 0 when not leader.
   LogIndex MatchIndex(NodeId member) const;
-  /// @return when `member` last answered this leader; the infinite past when not leading.
+  /// @return when `member` last replied to this leader; the infinite past when not leader.
   absl::Time LastContact(NodeId member) const;
   /// @return the entry if it is in the log, or null.
   const Entry* Find(EntryId entry) const;
-  /// @return the term of the entry at `index`, if it is in the log or the snapshot's end.
+  /// @return the term at `index`, if that is in the log or the snapshot's last index.
   std::optional<Term> TermAt(LogIndex index) const;
 
  private:
-  /// What the leader knows of a follower.
+  /// The leader's view of a follower.
   struct Progress {
     LogIndex match = 0;
     LogIndex next = 1;
-    /// Where the logs part is not known yet: one append at a time, and `next` waits for its reply.
-    /// Sending ahead here makes refusals and appends cross and multiply without end.
+    /// The matching index is not known yet: one append at a time, and `next` waits for its reply.
+    /// Pipelining here would let rejections and appends cross and multiply.
     bool probing = true;
-    bool probe_sent = false;  ///< Until its reply, or until the next heartbeat repeats it.
+    bool probe_sent = false;  ///< Until its reply; a heartbeat repeats the probe.
     std::size_t inflight = 0;
     bool snapshot_sent = false;
     std::uint64_t acknowledged_round = 0;
@@ -154,14 +156,14 @@
   void BroadcastAppend(bool even_if_empty);
   void AdvanceCommit();
   void AdvanceReads();
-  /// @return the newest round that a quorum has acknowledged.
+  /// @return the latest round acknowledged by a quorum.
   std::uint64_t ConfirmedRound() const;
   void BeginRound();
   void MaybeFinishTransfer(NodeId to);
 
   LogIndex AppendToLog(EntryKind kind, std::string payload);
-  /// @return where a leader should try next after a refusal at `previous`: before the whole term
-  /// that conflicts there, or at the log's end.
+  /// @return where the leader should retry after a rejection at `previous`: before all entries of
+  /// the conflicting term, or at the end of the log.
   LogIndex ConflictHint(LogIndex previous) const;
   void AppendReceived(const std::vector<Entry>& entries);
   void TruncateFrom(LogIndex index);
@@ -181,9 +183,9 @@
 
   HardState hard_state_;
   HardState stored_hard_state_;
-  Snapshot snapshot_;          // Its data is kept only for sending.
+  Snapshot snapshot_;          // `data` is kept only for sending.
   std::vector<Entry> log_;     // Entries after the snapshot.
-  LogIndex stored_index_ = 0;  // Entries up to here have been handed out for storing.
+  LogIndex stored_index_ = 0;  // Entries up to here have been stored by the owner.
   LogIndex commit_ = 0;
   LogIndex applied_ = 0;
   Configuration configuration_;
@@ -197,13 +199,13 @@
   std::map<NodeId, bool> votes_;
 
   std::map<NodeId, Progress> progress_;
-  LogIndex leader_first_index_ = 0;  // The first entry of this leader's term.
+  LogIndex leader_first_index_ = 0;  // First entry of this leader's term.
   absl::Time next_heartbeat_;
   absl::Time quorum_check_at_;
   NodeId transfer_target_;
   absl::Time transfer_deadline_;
   std::uint64_t round_ = 0;
-  std::map<std::uint64_t, absl::Time> round_started_;  // Rounds not older than the confirmed one.
+  std::map<std::uint64_t, absl::Time> round_started_;  // Confirmed and later rounds.
   std::vector<PendingRead> pending_reads_;
 
   Ready ready_;
--- a/src/consensus/snapshot_schedule.h
+++ b/src/consensus/snapshot_schedule.h
@@ -1,4 +1,4 @@
-// When a replica's state should take its log's place, and the snapshot that does it.
+// Decides when a replica takes a snapshot and compacts its log.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace martenyard::consensus {
 
-/// Counts what was applied since the last snapshot. Waiting for as many log bytes as the state has
-/// keeps the cost per command constant.
+/// Counts the log bytes applied since the last snapshot. A snapshot is due once they reach the size
+/// of the previous one, which keeps the amortized cost per command constant.
 class SnapshotSchedule {
  public:
   /// @param restored the snapshot that the replica started from; index 0 when there was none.
@@ -17,13 +17,13 @@
 
   void RecordApplied(const Entry& entry);
   void RecordInstalled(const Snapshot& snapshot);
-  /// True when a snapshot is worth its cost and the configuration is settled.
+  /// True when enough was applied since the last snapshot and the configuration is committed.
   bool Due(const Raft& raft) const;
-  /// Drops `raft`'s log up to what was applied. @param data the state at that point.
+  /// Takes a snapshot and compacts `raft`'s log. @param data the state at the applied index.
   Snapshot Take(Raft& raft, std::string data);
-  /// Begins a snapshot whose data comes later. @return its place in the log, without data.
+  /// Starts a snapshot whose data follows later. @return its position in the log, without data.
   Snapshot Begin(const Raft& raft);
-  /// Drops `raft`'s log up to the snapshot's place, now that it is stored.
+  /// Compacts `raft`'s log up to the snapshot, once that is stored.
   void Finish(Raft& raft, Snapshot snapshot);
   LogIndex applied() const { return applied_; }
 
@@ -32,7 +32,7 @@
   LogIndex applied_ = 0;
   Term applied_term_ = 0;
   std::uint64_t log_bytes_ = 0;       // Applied since the last snapshot.
-  std::uint64_t snapshot_bytes_ = 0;  // The last snapshot's size.
+  std::uint64_t snapshot_bytes_ = 0;  // Size of the last snapshot.
 };
 
 }  // namespace martenyard::consensus
--- a/src/consensus/types.h
+++ b/src/consensus/types.h
@@ -1,5 +1,5 @@
-// Data of the replicated log: entries, stored state and the messages between replicas.
-// The algorithm is Raft as published (Ongaro, Ousterhout), with pre-vote and check-quorum.
+// Data types of the replicated log: entries, persistent state and messages between replicas.
+// The algorithm is Raft (Ongaro, Ousterhout) with pre-vote and check-quorum.
 #pragma once
 
 #include <compare>
@@ -16,7 +16,7 @@
 /// Position in the log; the first entry has index 1.
 using LogIndex = std::uint64_t;
 
-/// Who replicates a group. Learners receive the log but neither vote nor count for a quorum.
+/// The members of a group. Learners receive the log but neither vote nor count for a quorum.
 struct Configuration {
   std::vector<NodeId> voters;
   std::vector<NodeId> learners;
@@ -34,7 +34,7 @@
   }
 };
 
-/// Names an entry for good: two entries with the same index and term are the same.
+/// Identifies an entry: two entries with the same index and term are identical.
 struct EntryId {
   LogIndex index = 0;
   Term term = 0;
@@ -61,7 +61,7 @@
   }
 };
 
-/// What a replica must have stored before it answers a message.
+/// State that a replica must persist before it replies to a message.
 struct HardState {
   Term term = 0;
   NodeId voted_for;
@@ -73,7 +73,7 @@
   }
 };
 
-/// The state machine at one index, in place of the log up to it.
+/// The state machine at `index`; replaces the log up to and including that index.
 struct Snapshot {
   LogIndex index = 0;
   Term term = 0;
@@ -89,7 +89,7 @@
 struct VoteRequest {
   Term term = 0;
   bool pre_vote = false;
-  bool leadership_transfer = false;  ///< Asked to by the leader: its lease does not protect it.
+  bool leadership_transfer = false;  ///< Requested by the leader: ignores its lease.
   LogIndex last_index = 0;
   Term last_term = 0;
   template <class Archive>
@@ -113,7 +113,7 @@
   LogIndex previous_index = 0;
   Term previous_term = 0;
   LogIndex commit = 0;
-  std::uint64_t round = 0;  ///< The leader's read round that the reply confirms.
+  std::uint64_t round = 0;  ///< Read round, echoed in the reply.
   std::vector<Entry> entries;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -124,8 +124,8 @@
 struct AppendReply {
   Term term = 0;
   bool success = false;
-  LogIndex match = 0;     ///< On success the last index known equal; else where to try next.
-  LogIndex previous = 0;  ///< The append's `previous_index`, so that late refusals are known.
+  LogIndex match = 0;     ///< On success the last matching index; else a hint where to retry.
+  LogIndex previous = 0;  ///< The request's `previous_index`; identifies stale rejections.
   std::uint64_t round = 0;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -143,7 +143,7 @@
   }
 };
 
-/// The leader hands over: the receiver stands for election at once.
+/// Sent by a leader that transfers leadership: the receiver starts an election at once.
 struct TimeoutNow {
   Term term = 0;
   template <class Archive>
@@ -152,8 +152,8 @@
   }
 };
 
-/// Entries before a snapshot that its state refers to, sent ahead of it in small parts. The owner
-/// of the replica stores them; the algorithm passes them over.
+/// Entries before a snapshot that its state refers to, sent ahead of it in small batches. The owner
+/// of the replica stores them; `Raft::Step` ignores them.
 struct StagedEntries {
   std::vector<Entry> entries;
   template <class Archive>
--- a/tests/consensus/raft_test.cc
+++ b/tests/consensus/raft_test.cc
@@ -14,7 +14,7 @@
 namespace martenyard::consensus {
 namespace {
 
-/// A group of replicas on a network that a test holds in its hands.
+/// A group of replicas on a simulated network that the test controls.
 class Cluster {
  public:
   explicit Cluster(std::size_t voters, std::size_t extra = 0) {
@@ -39,19 +39,20 @@
 
   void Kill(NodeId id) { replicas_[id] = nullptr; }
 
-  /// The replica knows nothing of its group, as one whose leader spoke before its founding did.
-  void BootUnfounded(NodeId id) {
+  /// Boots a replica without a configuration, like one contacted by the leader before its
+  /// bootstrap.
+  void BootWithoutConfiguration(NodeId id) {
     disks_[id] = storage::StoredGroup{};
     Boot(id);
   }
 
-  /// Lets `time` pass in ticks, delivering what may be delivered.
+  /// Advances time in ticks of 10 ms and delivers messages between connected replicas.
   void Run(absl::Duration time) {
     for (absl::Time end = now_ + time; now_ < end; now_ += absl::Milliseconds(10)) {
       for (auto& [id, replica] : replicas_) {
         if (replica != nullptr) {
           replica->Tick(now_);
-          Pump(id);
+          ProcessReady(id);
         }
       }
       DeliverAll();
@@ -62,33 +63,33 @@
     while (!wire_.empty()) {
       auto [from, outbound] = std::move(wire_.front());
       wire_.pop_front();
-      bool open = !cut_.contains(from) && !cut_.contains(outbound.to);
+      bool open = !disconnected_.contains(from) && !disconnected_.contains(outbound.to);
       auto receiver = replicas_.find(outbound.to);
       if (open && receiver != replicas_.end() && receiver->second != nullptr) {
         receiver->second->Step(now_, from, outbound.message);
-        Pump(outbound.to);
+        ProcessReady(outbound.to);
       }
     }
   }
 
-  /// Delivers what is on the wire now; answers to it travel until the next round, 2 ms later.
+  /// Delivers the messages in flight; replies to them arrive in the next round, 2 ms later.
   void DeliverRound() {
     now_ += absl::Milliseconds(2);
     for (auto& [id, replica] : replicas_) {
       replica->Tick(now_);
-      Pump(id);
+      ProcessReady(id);
     }
     auto arriving = std::exchange(wire_, {});
     for (auto& [from, outbound] : arriving) {
-      bool open = !cut_.contains(from) && !cut_.contains(outbound.to);
+      bool open = !disconnected_.contains(from) && !disconnected_.contains(outbound.to);
       if (open && replicas_[outbound.to] != nullptr) {
         replicas_[outbound.to]->Step(now_, from, outbound.message);
-        Pump(outbound.to);
+        ProcessReady(outbound.to);
       }
     }
   }
 
-  void Pump(NodeId id) {
+  void ProcessReady(NodeId id) {
     Raft& raft = *replicas_[id];
     while (raft.HasReady()) {
       Ready ready = raft.TakeReady();
@@ -104,7 +105,7 @@
       for (const Entry& entry : ready.committed) {
         ASSERT_EQ(entry.index, applied_[id].size() + 1) << "entries are applied without gaps";
         applied_[id].push_back(entry);
-        CheckAgreed(entry);
+        CheckCommitted(entry);
       }
       for (auto* list : {&ready.messages_before_store, &ready.messages_after_store}) {
         for (Outbound& outbound : *list) {
@@ -114,21 +115,22 @@
       reads_.insert(reads_.end(), ready.reads.begin(), ready.reads.end());
       failed_reads_ += ready.failed_reads.size();
       if (raft.IsLeader()) {
-        auto [known, added] = leaders_.emplace(raft.term(), id);
-        ASSERT_EQ(known->second, id) << "two leaders in term " << raft.term();
+        auto [recorded, added] = leaders_.emplace(raft.term(), id);
+        ASSERT_EQ(recorded->second, id) << "two leaders in term " << raft.term();
       }
     }
   }
 
-  void CheckAgreed(const Entry& entry) {
-    auto [known, added] = agreed_.emplace(entry.index, entry);
-    ASSERT_EQ(known->second, entry) << "two entries committed at index " << entry.index;
+  void CheckCommitted(const Entry& entry) {
+    auto [recorded, added] = committed_.emplace(entry.index, entry);
+    ASSERT_EQ(recorded->second, entry) << "two entries committed at index " << entry.index;
   }
 
   Raft* Leader() {
     Raft* leader = nullptr;
     for (auto& [id, replica] : replicas_) {
-      bool newer = replica != nullptr && replica->LeaderIsCurrent() && !cut_.contains(id) &&
+      bool newer = replica != nullptr && replica->LeaderIsCurrent() &&
+                   !disconnected_.contains(id) &&
                    (leader == nullptr || replica->term() > leader->term());
       leader = newer ? replica.get() : leader;
     }
@@ -144,7 +146,7 @@
     return kNoNode;
   }
 
-  /// The leader's log up to its commit becomes a snapshot.
+  /// Compacts the leader's log up to its commit index.
   void CompactLeader() {
     Snapshot snapshot;
     snapshot.index = Leader()->commit_index();
@@ -155,11 +157,11 @@
 
   Raft& replica(std::uint64_t id) { return *replicas_[NodeId(id)]; }
   bool IsUp(NodeId id) { return replicas_[id] != nullptr; }
-  void Cut(NodeId id) { cut_.insert(id); }
-  void Heal() { cut_.clear(); }
-  std::set<NodeId>& cut() { return cut_; }
+  void Disconnect(NodeId id) { disconnected_.insert(id); }
+  void ReconnectAll() { disconnected_.clear(); }
+  std::set<NodeId>& disconnected() { return disconnected_; }
   std::deque<std::pair<NodeId, Outbound>>& wire() { return wire_; }
-  const std::map<LogIndex, Entry>& agreed() const { return agreed_; }
+  const std::map<LogIndex, Entry>& committed() const { return committed_; }
   std::size_t AppliedAt(std::uint64_t id) { return applied_[NodeId(id)].size(); }
   std::vector<ReadyRead>& reads() { return reads_; }
   std::size_t failed_reads() const { return failed_reads_; }
@@ -173,16 +175,16 @@
   std::map<NodeId, std::unique_ptr<Raft>> replicas_;
   std::map<NodeId, std::vector<Entry>> applied_;
   std::deque<std::pair<NodeId, Outbound>> wire_;
-  std::set<NodeId> cut_;
-  std::map<LogIndex, Entry> agreed_;
+  std::set<NodeId> disconnected_;
+  std::map<LogIndex, Entry> committed_;
   std::map<Term, NodeId> leaders_;
   std::vector<ReadyRead> reads_;
   std::size_t failed_reads_ = 0;
 };
 
-std::size_t CommandsIn(const std::map<LogIndex, Entry>& agreed) {
+std::size_t CommandsIn(const std::map<LogIndex, Entry>& committed) {
   std::size_t count = 0;
-  for (const auto& [index, entry] : agreed) {
+  for (const auto& [index, entry] : committed) {
     count += entry.kind == EntryKind::kCommand ? 1 : 0;
   }
   return count;
@@ -194,7 +196,7 @@
   ASSERT_NE(cluster.Leader(), nullptr);
   cluster.Leader()->Propose(EntryKind::kCommand, "a");
   cluster.Run(absl::Milliseconds(20));
-  EXPECT_EQ(CommandsIn(cluster.agreed()), 1U);
+  EXPECT_EQ(CommandsIn(cluster.committed()), 1U);
 }
 
 TEST(RaftTest, ThreeVotersElectOneLeaderAndCommitOnAll) {
@@ -205,26 +207,24 @@
     cluster.Leader()->Propose(EntryKind::kCommand, "c" + std::to_string(number));
   }
   cluster.Run(absl::Milliseconds(200));
-  EXPECT_EQ(CommandsIn(cluster.agreed()), 20U);
+  EXPECT_EQ(CommandsIn(cluster.committed()), 20U);
   EXPECT_EQ(cluster.AppliedAt(1), cluster.AppliedAt(2));
   EXPECT_EQ(cluster.AppliedAt(2), cluster.AppliedAt(3));
 }
 
-/// A machine whose snapshot was on its way got up to 49,000 messages in two seconds. Each reply to
-/// a heartbeat was answered with one at once, and with another when the leader next had something
-/// to do, so they doubled with every round trip: the ledger's counts of its work showed it, and
-/// here 1,023 were sent in 24 rounds of 2 ms.
-TEST(RaftTest, MemberWhoseSnapshotIsOnItsWayGetsHeartbeatsByTheTimerAlone) {
+/// Guards against heartbeats that multiply with every round trip while a snapshot is in flight,
+/// because each heartbeat reply triggers another heartbeat.
+TEST(RaftTest, HeartbeatsAreSentOnlyByTimerWhileSnapshotIsInFlight) {
   constexpr int kRounds = 24;  // 48 ms, less than one heartbeat interval.
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId leader = cluster.LeaderId();
   NodeId lagging(leader == NodeId(1) ? 2 : 1);
-  cluster.Cut(lagging);
+  cluster.Disconnect(lagging);
   cluster.Leader()->Propose(EntryKind::kCommand, "c");
   cluster.Run(absl::Milliseconds(200));
   cluster.CompactLeader();
-  cluster.Heal();
+  cluster.ReconnectAll();
   std::size_t heartbeats = 0;
   for (int round = 0; round < kRounds; ++round) {
     cluster.DeliverRound();
@@ -232,32 +232,33 @@
       const RaftMessage& message = sent.second.message;
       bool to_lagging = sent.second.to == lagging;
       heartbeats += to_lagging && std::holds_alternative<AppendRequest>(message) ? 1 : 0;
-      return to_lagging && std::holds_alternative<SnapshotRequest>(message);  // It takes its time.
+      return to_lagging &&
+             std::holds_alternative<SnapshotRequest>(message);  // Keeps the snapshot in flight.
     });
   }
   EXPECT_LE(heartbeats, 2U);
 }
 
-TEST(RaftTest, LeaderWithoutQuorumStepsDownAndTheRestElectsAnother) {
+TEST(RaftTest, LeaderWithoutQuorumStepsDownAndAnotherIsElected) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId old = cluster.LeaderId();
-  cluster.Cut(old);
+  cluster.Disconnect(old);
   cluster.Run(absl::Seconds(2));
   EXPECT_FALSE(cluster.replica(old.value).IsLeader());
   ASSERT_NE(cluster.Leader(), nullptr);
   EXPECT_NE(cluster.LeaderId(), old);
 }
 
-TEST(RaftTest, ReplicaThatWasCutOffDoesNotDisturbTheLeaderWhenItComesBack) {
+TEST(RaftTest, ReconnectedReplicaDoesNotDisruptTheLeader) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId leader = cluster.LeaderId();
   Term term = cluster.Leader()->term();
   NodeId follower(leader == NodeId(1) ? 2 : 1);
-  cluster.Cut(follower);
+  cluster.Disconnect(follower);
   cluster.Run(absl::Seconds(5));
-  cluster.Heal();
+  cluster.ReconnectAll();
   cluster.Run(absl::Seconds(2));
   EXPECT_EQ(cluster.LeaderId(), leader);
   EXPECT_EQ(cluster.Leader()->term(), term) << "pre-vote keeps the term";
@@ -267,46 +268,46 @@
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId old = cluster.LeaderId();
-  cluster.Cut(old);
+  cluster.Disconnect(old);
   cluster.replica(old.value).Propose(EntryKind::kCommand, "lost");
   cluster.Run(absl::Seconds(2));
   cluster.Leader()->Propose(EntryKind::kCommand, "kept");
   cluster.Run(absl::Milliseconds(200));
-  cluster.Heal();
+  cluster.ReconnectAll();
   cluster.Run(absl::Seconds(2));
-  ASSERT_EQ(CommandsIn(cluster.agreed()), 1U);
-  EXPECT_EQ(cluster.AppliedAt(old.value), cluster.agreed().size());
+  ASSERT_EQ(CommandsIn(cluster.committed()), 1U);
+  EXPECT_EQ(cluster.AppliedAt(old.value), cluster.committed().size());
 }
 
 TEST(RaftTest, DeposedLeaderWithALongTailCatchesUpWhileNewEntriesKeepComing) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId old = cluster.LeaderId();
-  cluster.Cut(old);
+  cluster.Disconnect(old);
   for (int number = 0; number < 400; ++number) {
     cluster.replica(old.value).Propose(EntryKind::kCommand, "lost" + std::to_string(number));
   }
-  cluster.Pump(old);
+  cluster.ProcessReady(old);
   cluster.Run(absl::Seconds(2));
   ASSERT_NE(cluster.Leader(), nullptr);
   for (int number = 0; number < 1500; ++number) {
     cluster.Leader()->Propose(EntryKind::kCommand, "kept" + std::to_string(number));
   }
   cluster.Run(absl::Milliseconds(200));
-  cluster.Heal();
-  // A message takes a while; meanwhile more is proposed, so that appends and refusals cross.
+  cluster.ReconnectAll();
+  // More entries are proposed while messages are in flight, so that appends and rejections cross.
   NodeId leader = cluster.LeaderId();
   constexpr int kRounds = 150;
   for (int round = 0; round < kRounds; ++round) {
     cluster.replica(leader.value).Propose(EntryKind::kCommand, "more" + std::to_string(round));
-    cluster.Pump(leader);
+    cluster.ProcessReady(leader);
     cluster.DeliverRound();
   }
   EXPECT_GE(cluster.replica(leader.value).MatchIndex(old),
             cluster.replica(leader.value).last_index() - 10);
 }
 
-TEST(RaftTest, LeadershipTransferMovesTheLeadWithoutWaitingForATimeout) {
+TEST(RaftTest, LeadershipTransferDoesNotWaitForAnElectionTimeout) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId old = cluster.LeaderId();
@@ -317,11 +318,11 @@
   EXPECT_EQ(cluster.LeaderId(), next);
 }
 
-/// Symptom: a leader handed over to such a replica again and again, and could store nothing
-/// meanwhile.
-TEST(RaftTest, FounderThatFirstHearsOfItsGroupFromItsLeaderCanTakeTheLead) {
+/// Guards against a leader that repeatedly transfers leadership to a replica without a
+/// configuration and rejects all proposals meanwhile.
+TEST(RaftTest, InitialMemberContactedBeforeItsBootstrapCanBecomeLeader) {
   Cluster cluster(3);
-  cluster.BootUnfounded(NodeId(3));
+  cluster.BootWithoutConfiguration(NodeId(3));
   cluster.Run(absl::Seconds(2));
   ASSERT_NE(cluster.Leader(), nullptr);
   EXPECT_EQ(cluster.replica(3).configuration(), cluster.Leader()->configuration());
@@ -330,31 +331,30 @@
   EXPECT_EQ(cluster.LeaderId(), NodeId(3));
 }
 
-/// Nothing could be stored for as long as a stopping leader's target did not take over: the order
-/// was repeated each 0.2 s, and each time the limit of the hand-over began anew. The simulated
-/// stops of PlannedStopTest showed it: one target for 30 s, and not one proposal taken.
-TEST(RaftTest, HandOverThatIsAskedForAgainAndAgainRefusesProposalsNoLongerThanItsLimit) {
-  constexpr int kAsks = 10;
+/// Guards against repeated transfer requests that extend the transfer's deadline, so that proposals
+/// are rejected for as long as the target does not take over.
+TEST(RaftTest, RepeatedLeadershipTransferDoesNotExtendItsDeadline) {
+  constexpr int kRequests = 10;
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId leader = cluster.LeaderId();
-  NodeId silent(leader == NodeId(1) ? 2 : 1);
-  cluster.Cut(silent);
+  NodeId unreachable(leader == NodeId(1) ? 2 : 1);
+  cluster.Disconnect(unreachable);
   bool accepted = false;
-  for (int ask = 0; ask < kAsks && !accepted; ++ask) {
-    cluster.replica(leader.value).TransferLeadership(silent);
+  for (int request = 0; request < kRequests && !accepted; ++request) {
+    cluster.replica(leader.value).TransferLeadership(unreachable);
     cluster.Run(absl::Milliseconds(200));
     accepted = cluster.replica(leader.value).Propose(EntryKind::kCommand, "x").has_value();
   }
   EXPECT_TRUE(accepted);
 }
 
-TEST(RaftTest, LaggingReplicaGetsTheSnapshotAndThenTheLog) {
+TEST(RaftTest, LaggingReplicaReceivesSnapshotThenLog) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId leader = cluster.LeaderId();
   NodeId lagging(leader == NodeId(1) ? 2 : 1);
-  cluster.Cut(lagging);
+  cluster.Disconnect(lagging);
   for (int number = 0; number < 10; ++number) {
     cluster.Leader()->Propose(EntryKind::kCommand, "c");
   }
@@ -362,12 +362,12 @@
   cluster.CompactLeader();
   EXPECT_EQ(cluster.Leader()->log_size(), 0U);
   cluster.Leader()->Propose(EntryKind::kCommand, "after");
-  cluster.Heal();
+  cluster.ReconnectAll();
   cluster.Run(absl::Seconds(2));
-  EXPECT_EQ(cluster.AppliedAt(lagging.value), cluster.agreed().size());
+  EXPECT_EQ(cluster.AppliedAt(lagging.value), cluster.committed().size());
 }
 
-TEST(RaftTest, NewMemberLearnsThenVotesAndTheOldOneLeaves) {
+TEST(RaftTest, LearnerIsPromotedAndOldVoterIsRemoved) {
   Cluster cluster(3, /*extra=*/1);
   cluster.Run(absl::Seconds(2));
   Configuration learning = cluster.Leader()->configuration();
@@ -389,7 +389,7 @@
   EXPECT_NE(cluster.Leader(), nullptr);
 }
 
-TEST(RaftTest, ConfigurationsThatDifferInMoreThanOneVoterAreRefused) {
+TEST(RaftTest, ConfigurationChangeOfMoreThanOneVoterIsRejected) {
   Cluster cluster(3, /*extra=*/2);
   cluster.Run(absl::Seconds(2));
   Configuration next = cluster.Leader()->configuration();
@@ -400,7 +400,7 @@
   EXPECT_FALSE(cluster.Leader()->ProposeConfiguration(next));
 }
 
-TEST(RaftTest, LearnerNeitherVotesNorStandsForElection) {
+TEST(RaftTest, LearnerDoesNotBecomeCandidate) {
   Cluster cluster(1, /*extra=*/1);
   cluster.Run(absl::Seconds(2));
   Configuration learning = cluster.Leader()->configuration();
@@ -412,21 +412,21 @@
   EXPECT_EQ(cluster.Leader(), nullptr);
 }
 
-TEST(RaftTest, ReadIsServedOnlyAfterAQuorumConfirmedTheLead) {
+TEST(RaftTest, ReadIsServedOnlyAfterAQuorumConfirmedLeadership) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   ASSERT_TRUE(cluster.Leader()->RequestRead(1));
   cluster.Run(absl::Milliseconds(50));
   ASSERT_EQ(cluster.reads().size(), 1U);
   NodeId old = cluster.LeaderId();
-  cluster.Cut(old);
+  cluster.Disconnect(old);
   ASSERT_TRUE(cluster.replica(old.value).RequestRead(2));
   cluster.Run(absl::Seconds(2));
-  EXPECT_EQ(cluster.reads().size(), 1U) << "a leader cut off must not serve reads";
+  EXPECT_EQ(cluster.reads().size(), 1U) << "a disconnected leader must not serve reads";
   EXPECT_EQ(cluster.failed_reads(), 1U);
 }
 
-/// @return how many replicas hold the lease of leadership now.
+/// @return how many replicas currently hold the leader lease.
 int LeaseHolders(Cluster& cluster) {
   int holders = 0;
   for (std::uint64_t id = 1; id <= cluster.size(); ++id) {
@@ -436,7 +436,7 @@
   return holders;
 }
 
-TEST(RaftTest, LeaderHoldsItsLeaseWhileAQuorumAnswers) {
+TEST(RaftTest, LeaderHoldsItsLeaseWhileAQuorumReplies) {
   Cluster cluster(5);
   cluster.Run(absl::Seconds(2));
   for (int round = 0; round < 100; ++round) {
@@ -445,11 +445,11 @@
   }
 }
 
-TEST(RaftTest, LeaderThatIsCutOffLosesItsLeaseBeforeAnotherIsElected) {
+TEST(RaftTest, DisconnectedLeaderLosesItsLeaseBeforeAnotherIsElected) {
   for (int try_number = 0; try_number < 20; ++try_number) {
     Cluster cluster(5);
     cluster.Run(absl::Seconds(2) + absl::Milliseconds(7 * try_number));
-    cluster.Cut(cluster.LeaderId());
+    cluster.Disconnect(cluster.LeaderId());
     for (int round = 0; round < 200; ++round) {
       cluster.Run(absl::Milliseconds(10));
       EXPECT_LE(LeaseHolders(cluster), 1);
@@ -458,24 +458,24 @@
   }
 }
 
-TEST(RaftTest, LeaderThatStoodStillHoldsNoLeaseWhateverItReadsThen) {
+TEST(RaftTest, PausedLeaderHoldsNoLeaseAfterStaleAcknowledgements) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
-  Raft* frozen = cluster.Leader();
+  Raft* paused = cluster.Leader();
   cluster.DeliverRound();
-  EXPECT_TRUE(frozen->HoldsLease(cluster.now()));
-  // Acknowledgements of before wait in its buffers; they arrive when it wakes.
-  absl::Time woken = cluster.now() + absl::Seconds(3);
+  EXPECT_TRUE(paused->HoldsLease(cluster.now()));
+  // Acknowledgements received during the pause are processed when it resumes.
+  absl::Time resumed = cluster.now() + absl::Seconds(3);
   AppendReply late;
-  late.term = frozen->term();
+  late.term = paused->term();
   late.success = true;
   late.match = 1;
   late.round = 1;
-  frozen->Step(woken, NodeId(frozen->leader().value % 3 + 1), late);
-  EXPECT_FALSE(frozen->HoldsLease(woken));
+  paused->Step(resumed, NodeId(paused->leader().value % 3 + 1), late);
+  EXPECT_FALSE(paused->HoldsLease(resumed));
 }
 
-TEST(RaftTest, LeaderThatHandsOverHoldsNoLease) {
+TEST(RaftTest, LeaderThatTransfersLeadershipHoldsNoLease) {
   Cluster cluster(3);
   cluster.Run(absl::Seconds(2));
   NodeId old = cluster.LeaderId();
@@ -484,7 +484,7 @@
   EXPECT_FALSE(cluster.replica(old.value).HoldsLease(cluster.now()));
 }
 
-TEST(RaftTest, RestartedReplicaAppliesItsLogAgainFromTheSnapshot) {
+TEST(RaftTest, RestartedReplicaReappliesItsLogAfterTheSnapshot) {
   Cluster cluster(3);
   cluster.Kill(NodeId(2));
   cluster.Boot(NodeId(2));
@@ -495,12 +495,12 @@
   ASSERT_NE(cluster.Leader(), nullptr);
   cluster.Leader()->Propose(EntryKind::kCommand, "c");
   cluster.Run(absl::Seconds(1));
-  EXPECT_EQ(CommandsIn(cluster.agreed()), 1U);
+  EXPECT_EQ(CommandsIn(cluster.committed()), 1U);
 }
 
-// Random histories: election safety and state machine safety are checked at every step by the
-// cluster itself; at the end the healed group must agree and make progress.
-RC_GTEST_PROP(RaftPropertyTest, AgreementHoldsUnderAnyHistory, ()) {
+// Random histories: the cluster checks election safety and state machine safety at every step; at
+// the end the reconnected group must agree and make progress.
+RC_GTEST_PROP(RaftPropertyTest, AgreementHoldsForRandomHistories, ()) {
   Cluster cluster(3);
   auto steps = *rc::gen::resize(
       80, rc::gen::container<std::vector<std::pair<int, std::uint64_t>>>(
@@ -510,10 +510,10 @@
     NodeId node(target);
     switch (action) {
       case 0:
-        cluster.Cut(node);
+        cluster.Disconnect(node);
         break;
       case 1:
-        cluster.Heal();
+        cluster.ReconnectAll();
         break;
       case 2:
         cluster.Kill(node);
@@ -528,13 +528,13 @@
         if (cluster.IsUp(node) &&
             cluster.replica(target).Propose(EntryKind::kCommand, std::to_string(proposed))) {
           ++proposed;
-          cluster.Pump(node);
+          cluster.ProcessReady(node);
         }
         break;
-      case 6:  // Messages cross.
+      case 6:  // Reorders messages.
         std::reverse(cluster.wire().begin(), cluster.wire().end());
         break;
-      case 7:  // A message arrives twice.
+      case 7:  // Duplicates a message.
         if (!cluster.wire().empty()) {
           cluster.wire().push_back(cluster.wire().front());
         }
@@ -544,7 +544,7 @@
         break;
     }
   }
-  cluster.Heal();
+  cluster.ReconnectAll();
   for (std::uint64_t id = 1; id <= 3; ++id) {
     if (!cluster.IsUp(NodeId(id))) {
       cluster.Boot(NodeId(id));
@@ -554,7 +554,7 @@
   RC_ASSERT(cluster.LeaderId() != kNoNode);
   RC_ASSERT(cluster.Leader()->Propose(EntryKind::kCommand, "last").has_value());
   cluster.Run(absl::Seconds(1));
-  RC_ASSERT(cluster.agreed().rbegin()->second.payload == "last");
+  RC_ASSERT(cluster.committed().rbegin()->second.payload == "last");
   RC_ASSERT(!::testing::Test::HasFailure());
 }
 
