--- a/src/storage/durable_mark.cc
+++ b/src/storage/durable_mark.cc
@@ -14,20 +14,20 @@
 namespace martenyard::storage {
 namespace {
 
-/// No text of the log's entries has it but by chance: one in 2^64, and the checksum is another.
+/// Random, so that log entries do not contain it; false matches fail the checksum.
 constexpr char kMagic[] = "\xd5\x1c\x9e\x07\xb3\x62\xf8\x4a";
 constexpr std::size_t kMagicBytes = sizeof(kMagic) - 1;
 constexpr std::size_t kNumberBytes = 8;
-/// A file that is there once every write carries a mark. Folders of earlier versions lack it.
+/// Exists once every write carries a mark. Absent in directories of earlier versions.
 constexpr char kMarkedFile[] = "/DURABLE_MARKS";
 constexpr std::size_t kMarkBytes = kMagicBytes + 2 * kNumberBytes;
 
-/// @return the paths of the write-ahead logs; none if the folder can't be listed.
+/// @return the paths of the write-ahead logs; none if the directory cannot be listed.
 std::vector<std::string> WriteAheadLogs(rocksdb::Env& files, const std::string& folder) {
   std::vector<std::string> names;
   std::vector<std::string> logs;
   if (!files.GetChildren(folder, &names).ok()) {
-    return logs;  // It doesn't exist yet; opening it tells anything else.
+    return logs;  // Does not exist yet; other errors are reported when it is opened.
   }
   for (const std::string& name : names) {
     if (absl::EndsWith(name, ".log")) {
@@ -43,8 +43,8 @@
   }
   std::string number = mark.substr(kMagicBytes, kNumberBytes);
   std::string checksum = BigEndian(StableHash(number), kNumberBytes);
-  bool whole = mark.compare(kMagicBytes + kNumberBytes, kNumberBytes, checksum) == 0;
-  return whole ? std::make_optional(FromBigEndian(number)) : std::nullopt;
+  bool valid = mark.compare(kMagicBytes + kNumberBytes, kNumberBytes, checksum) == 0;
+  return valid ? std::make_optional(FromBigEndian(number)) : std::nullopt;
 }
 
 rocksdb::Status SyncFolder(rocksdb::Env& files, const std::string& folder) {
@@ -67,12 +67,12 @@
   for (const std::string& path : WriteAheadLogs(files, folder)) {
     std::string text;
     if (!rocksdb::ReadFileToString(&files, path, &text).ok()) {
-      continue;  // Opening the store reads it, too, and tells.
+      continue;  // Reported when the store is opened.
     }
     for (std::size_t at = text.find(magic); at != std::string::npos;
          at = text.find(magic, at + 1)) {
       std::string mark = text.substr(at, kMarkBytes);
-      // One that the log's blocks cut in two is passed over: the next one says as much and more.
+      // A mark split by a block boundary is skipped: the next one is at least as high.
       if (std::optional<std::uint64_t> durable = DecodeDurableMark(mark)) {
         last = std::max(last, *durable);
       }
--- a/src/storage/durable_mark.h
+++ b/src/storage/durable_mark.h
@@ -1,9 +1,9 @@
-// Which changes of a RocksDB folder had been synced, as its write-ahead logs tell.
+// Marks in RocksDB's write-ahead logs that record which changes had been synced.
 //
-// A torn end of a log is either a write that a loss of power left half done, which nobody was told
-// of, or damage to what was acknowledged. RocksDB can't tell the two apart. So each write
-// carries a mark that says up to which change the writes before it are durable: a log that reads
-// less than any mark in it is damaged, and one that reads as much only lost what was under way.
+// A torn tail of a log is either an unacknowledged write that a power failure interrupted, or
+// corruption of acknowledged data. RocksDB cannot distinguish them. So each write carries a mark
+// with the sequence number up to which earlier writes are durable: a log that recovers fewer
+// changes than its highest mark is damaged, otherwise it only lost unacknowledged writes.
 #pragma once
 
 #include <rocksdb/env.h>
@@ -13,20 +13,20 @@
 
 namespace martenyard::storage {
 
-/// @param durable number of the last change that was synced before this mark is written.
-/// @return the mark's bytes, to be written into the log only.
+/// @param durable sequence number of the last synced change.
+/// @return the encoded mark, to be written to the write-ahead log only.
 std::string EncodeDurableMark(std::uint64_t durable);
 
-/// @return the highest whole mark in the folder's write-ahead logs, or 0. Reads all of them.
+/// @return the highest complete mark in the directory's write-ahead logs, or 0. Reads all of them.
 std::uint64_t LastDurableMark(rocksdb::Env& files, const std::string& folder);
 
-/// @return whether all of the folder's write-ahead logs were written with marks.
+/// @return whether all write-ahead logs of the directory were written with marks.
 bool MarksAreWritten(rocksdb::Env& files, const std::string& folder);
 
-/// From now on all writes in the folder's write-ahead logs carry marks.
+/// Records that all further writes to the directory's write-ahead logs carry marks.
 rocksdb::Status RecordMarksAreWritten(rocksdb::Env& files, const std::string& folder);
 
-/// Makes what ended processes wrote to the folder's write-ahead logs durable.
+/// Syncs what earlier processes wrote to the directory's write-ahead logs.
 rocksdb::Status SyncWriteAheadLogs(rocksdb::Env& files, const std::string& folder);
 
 }  // namespace martenyard::storage
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -1,4 +1,4 @@
-// Where replicas keep their logs: RocksDB in the data folder, or nowhere (memory replicas).
+// Log storage of replicas: RocksDB in the data folder, or memory.
 #pragma once
 
 #include <cstdint>
@@ -18,103 +18,102 @@
 
 namespace martenyard::storage {
 
-/// Why stored state can't be read or written. `detail` names the folder.
+/// Error of reading or writing stored state. `detail` names the data folder.
 struct StorageError {
   enum class Code { kCannotOpen, kWriteFailed, kDamaged, kForeignIdentity, kLaterFormat };
   Code code = Code::kCannotOpen;
   std::string detail;
 };
 
-/// What one group's replica wants stored; all parts take effect together.
+/// Changes to the stored state of one group's replica; applied atomically.
 struct GroupWrite {
   GroupId group;
   std::optional<consensus::HardState> hard_state;
   /// Replaces the stored snapshot; entries up to its index are dropped.
   std::optional<consensus::Snapshot> snapshot;
-  /// True when the snapshot's data was stored before, by `WriteSnapshotPart`.
+  /// True when the snapshot's data was already stored by `WriteSnapshotPart`.
   bool snapshot_in_parts = false;
   /// True when the snapshot came from the leader: the whole stored log is dropped.
   bool snapshot_replaces_log = false;
-  /// With a snapshot: entries up to its index that stay readable by `ReadEntry`, in rising order.
-  /// All others up to that index are dropped.
+  /// With a snapshot: entries up to its index that remain readable by `ReadEntry`, in ascending
+  /// order. All others up to that index are dropped.
   std::vector<consensus::LogIndex> retained;
-  /// Kept entries that nobody needs any more.
+  /// Retained entries to delete.
   std::vector<consensus::LogIndex> unreferenced;
   /// Replace the stored log from the first entry's index on.
   std::vector<consensus::Entry> entries;
-  /// Forgets the group but for a mark that this node left it.
+  /// Deletes the group except for a record that this node left it.
   bool removed = false;
 };
 
-/// What was stored of one group.
+/// Stored state of one group.
 struct StoredGroup {
   consensus::HardState hard_state;
   consensus::Snapshot snapshot;
   std::vector<consensus::Entry> entries;  ///< After the snapshot.
-  /// Entries that `ReadEntry` knows beside those: kept ones, staged ones, and what a crash left.
+  /// Other entries that `ReadEntry` finds: retained, staged, and left over from a crash.
   std::vector<consensus::LogIndex> retained;
   bool removed = false;
 };
 
-/// Everything a node had stored.
+/// Stored state of a node.
 struct StoredNode {
   NodeId identity;  ///< kNoNode when nothing was stored yet.
   std::map<GroupId, StoredGroup> groups;
 };
 
-/// What is written and not yet brought into its final order, and whether writes wait for that.
+/// Data that is not flushed or compacted yet, and the resulting write stalls.
 struct WriteBacklog {
-  std::uint64_t unflushed_tables = 0;    ///< In memory, full.
-  std::uint64_t unmerged_files = 0;      ///< On the disk.
-  std::uint64_t slowed_bytes_per_s = 0;  ///< Writes are held to this now; 0: to nothing.
-  std::uint64_t times_slowed = 0;        ///< In the store's life.
+  std::uint64_t unflushed_tables = 0;    ///< Full memtables.
+  std::uint64_t unmerged_files = 0;      ///< Level-0 files.
+  std::uint64_t slowed_bytes_per_s = 0;  ///< Current write rate limit; 0: none.
+  std::uint64_t times_slowed = 0;        ///< Since the store was opened.
   std::uint64_t times_stopped = 0;
 };
 
-/// Not thread-safe. A write that returned is durable, as far as the kind of store can.
+/// Not thread-safe. A completed write is durable if `IsDurable()`.
 class LogStore {
  public:
   virtual ~LogStore() = default;
-  /// Reads all that is stored. Errors: StorageError::kDamaged, kLaterFormat: a later build has
-  /// written records of a kind that this one doesn't know; they must stay as they are.
+  /// Reads the stored state. Errors: StorageError::kDamaged; kLaterFormat: there are records of a
+  /// type that only a later version knows, and the data must be left unchanged.
   virtual Result<StoredNode> Load() = 0;
   /// Stores the node's identity, once. Errors: StorageError::kForeignIdentity, kWriteFailed.
   virtual Result<void> SetIdentity(NodeId identity) = 0;
-  /// Stores all writes with one sync. Errors: StorageError::kWriteFailed; the store must then not
-  /// be used further, since what is on the disk is unknown.
+  /// Stores all writes with one sync. Errors: StorageError::kWriteFailed; the store must not be
+  /// used afterwards, since the state on disk is unknown.
   virtual Result<void> Write(const std::vector<GroupWrite>& writes) = 0;
-  /// Stores one part of a snapshot that a later `Write` names. A crash before that leaves the
-  /// snapshot before in force. @param first drops the parts of one that was given up.
+  /// Stores one part of a snapshot that a later `Write` completes. After a crash before that, the
+  /// previous snapshot is loaded. @param first discards the parts of an incomplete snapshot.
   /// Errors: StorageError::kWriteFailed.
   virtual Result<void> WriteSnapshotPart(GroupId group, bool first, const std::string& part) = 0;
-  /// Stores an entry that a snapshot from the leader needs, before that snapshot comes. Such an
-  /// entry never becomes part of the log; it is durable once a later `Write` is.
+  /// Stores an entry that a snapshot from the leader refers to, ahead of that snapshot. Such an
+  /// entry never becomes part of the log; it is durable after the next `Write`.
   /// Errors: StorageError::kWriteFailed.
   virtual Result<void> StageEntry(GroupId group, const consensus::Entry& entry) = 0;
-  /// @return the entry with this index and term, if the log has it or it was kept or staged.
+  /// @return the entry with this index and term, if it is in the log, retained or staged.
   /// Errors: StorageError::kDamaged.
   virtual Result<std::optional<consensus::Entry>> ReadEntry(GroupId group,
                                                             consensus::EntryId entry) = 0;
   virtual WriteBacklog Backlog() const { return {}; }
-  /// @return true when the end of what was written was torn and dropped at the opening. It had not
-  /// been synced, so nobody was told of it.
+  /// @return true when a torn tail was dropped at the opening. It had not been synced, so it was
+  /// never acknowledged.
   virtual bool DroppedTornTail() const { return false; }
-  /// @return true when stored state outlives the process.
+  /// @return true when stored state survives the process.
   virtual bool IsDurable() const = 0;
 };
 
-/// Keeps state in memory for the life of the object (a crash test's "disk", or a replica that has
-/// no data folder and takes a new identity at every start).
+/// Creates an in-memory store: the "disk" of a crash test, or the store of a replica without a data
+/// folder, which takes a new identity at every start and stores nothing.
 std::unique_ptr<LogStore> CreateMemoryLogStore(bool durable_for_tests);
 
-/// Opens or creates the store in `folder`. What was synced is there, or the store is refused as
-/// damaged; what was not synced may be missing or torn. Errors: StorageError::kCannotOpen,
-/// kDamaged.
-/// @param files where the folder is; null: the system's files. It must outlive the store.
+/// Opens or creates the store in `folder`. If synced data is missing, the store is rejected as
+/// damaged; unsynced data may be missing. Errors: StorageError::kCannotOpen, kDamaged.
+/// @param files file system of the folder; null: the default one. It must outlive the store.
 Result<std::unique_ptr<LogStore>> OpenRocksDbLogStore(const std::string& folder,
                                                       rocksdb::Env* files = nullptr);
 
-/// Applies one write to the in-memory picture of a group (shared by the stores and their tests).
+/// Applies one write to the in-memory state of a group (shared by the stores and their tests).
 void ApplyWrite(const GroupWrite& write, StoredGroup& group);
 
 }  // namespace martenyard::storage
--- a/src/storage/memory_log_store.cc
+++ b/src/storage/memory_log_store.cc
@@ -70,7 +70,7 @@
   bool IsDurable() const override { return durable_; }
 
  private:
-  /// Takes the entries that a snapshot leaves readable out of the log, before it is cut.
+  /// Copies the entries that a snapshot retains out of the log, before it is truncated.
   void RetainEntries(const GroupWrite& write, const StoredGroup& group) {
     std::map<consensus::LogIndex, consensus::Entry>& retained = retained_entries_[write.group];
     if (write.removed) {
@@ -80,7 +80,7 @@
       bool wanted = write.snapshot && entry.index <= write.snapshot->index &&
                     std::binary_search(write.retained.begin(), write.retained.end(), entry.index);
       if (wanted) {
-        retained.emplace(entry.index, entry);  // A staged one is the leader's, and stays.
+        retained.emplace(entry.index, entry);  // A staged entry takes precedence.
       }
     }
     if (write.snapshot) {
@@ -102,7 +102,7 @@
 
   bool durable_;
   StoredNode node_;
-  std::map<GroupId, std::string> parts_;  // Of snapshots that no write has named yet.
+  std::map<GroupId, std::string> parts_;  // Data of incomplete snapshots.
   std::map<GroupId, std::map<consensus::LogIndex, consensus::Entry>> retained_entries_;
 };
 
--- a/src/storage/rocksdb_log_store.cc
+++ b/src/storage/rocksdb_log_store.cc
@@ -1,9 +1,9 @@
-// Key layout (big-endian numbers, so that RocksDB's order is the log's):
+// Key layout (numbers are big-endian, so that RocksDB's key order is the log order):
 //   "identity"                       -> NodeId
 //   'h' group                        -> HardState
-//   's' group                        -> SnapshotRecord: a snapshot without its data
+//   's' group                        -> SnapshotRecord: snapshot metadata
 //   'p' group generation part        -> one part of the snapshot's data
-//   'e' group index                  -> Entry: of the log, or kept from before the snapshot
+//   'e' group index                  -> Entry: in the log, or retained from before the snapshot
 //   't' group index                  -> Entry that the leader sent ahead of its snapshot
 //   'x' group                        -> "" (this node left the group)
 #include <rocksdb/cache.h>
@@ -35,29 +35,29 @@
 
 constexpr char kIdentityKey[] = "identity";
 constexpr std::size_t kWriteBufferBytes = std::size_t{1} << 20;
-/// Recent texts are read from the write buffer; older ones are read once or twice in their lives.
+/// Small: recent entries are read from the write buffer, and older ones rarely.
 constexpr std::size_t kBlockCacheBytes = std::size_t{512} << 10;
-/// Compactions share the machine's processor with the replica itself. At full speed one compaction
-/// takes a small machine's whole share for longer than an election's timeout. Flushes aren't paced:
-/// writes wait for them.
+/// Compactions compete with the replica for CPU: without a limit, a compaction can saturate a small
+/// machine for longer than the election timeout. Flushes are not limited, since writes wait for
+/// them.
 constexpr std::int64_t kBackgroundBytesPerSecond = std::int64_t{5} << 20;
 constexpr std::int64_t kOpeningBytesPerSecond = std::int64_t{1} << 30;
-/// Most of the log is dropped before it would be worth compacting.
+/// High, since most of the log is dropped before a compaction would pay off.
 constexpr int kFilesBeforeCompaction = 10;
-/// By default RocksDB slows writes down at 20 files that aren't merged yet and stops them at 36,
-/// until a paced compaction of all of them is done: many seconds, in which the machine leads and
-/// follows nobody. More files cost only reading, which the filter keeps cheap. Their number stays
-/// bounded, since the writes' rate is far below the compactions'.
+/// By default RocksDB slows writes down at 20 level-0 files and stops them at 36 until a
+/// rate-limited compaction is done, which blocks the replica for seconds. More files only make
+/// reads slower, which the Bloom filter limits; their number is bounded because the write rate is
+/// far below the compaction rate.
 constexpr int kNoFileLimit = 1 << 30;
-/// Of each file's filter, for a key: one in a hundred reads looks into a file in vain.
+/// Bloom filter size, for a false positive rate of 1%.
 constexpr double kFilterBitsPerKey = 10;
-/// Gaps between kept entries up to this length are deleted one by one: each range that was deleted
-/// costs every later reader.
+/// Gaps between retained entries up to this length are deleted by key: each range tombstone slows
+/// down later reads.
 constexpr consensus::LogIndex kMaxSingleDeletes = 64;
-/// A snapshot is written in parts of this size: whole, it would stand in memory several times.
+/// Size of the parts of a snapshot. Writing it at once would hold several copies in memory.
 constexpr std::size_t kPartBytes = std::size_t{256} << 10;
 
-/// A snapshot's place in the store. Its parts count only once this record names their generation.
+/// Metadata of a snapshot. Its parts become valid when this record refers to their generation.
 struct SnapshotRecord {
   consensus::Snapshot snapshot;  ///< Without its data.
   std::uint64_t generation = 0;
@@ -89,7 +89,7 @@
   return leaf::new_error(StorageError{StorageError::Code::kDamaged, detail});
 }
 
-/// Counts how often RocksDB slowed writes down or stopped them. Called on its threads.
+/// Counts how often RocksDB slowed or stopped writes. Called on RocksDB's threads.
 class StallCounter : public rocksdb::EventListener {
  public:
   void OnStallConditionsChanged(const rocksdb::WriteStallInfo& info) override {
@@ -107,7 +107,7 @@
   std::atomic<std::uint64_t> stopped_{0};
 };
 
-/// Holds compactions to a pace and lets flushes pass.
+/// Limits the rate of compactions but not of flushes.
 class CompactionRateLimiter : public rocksdb::RateLimiter {
  public:
   explicit CompactionRateLimiter(std::int64_t bytes_per_second)
@@ -116,7 +116,7 @@
   using rocksdb::RateLimiter::Request;
   void Request(const std::int64_t bytes, const rocksdb::Env::IOPriority priority,
                rocksdb::Statistics* statistics) override {
-    // Flushes have the high priority; both have the user's while writes wait for a flush.
+    // Flushes have high priority; both have user priority while writes are stalled.
     if (priority == rocksdb::Env::IO_LOW) {
       limiter_->Request(bytes, priority, statistics);
     }
@@ -162,20 +162,20 @@
       if (!IsKnownRecordType(key)) {
         return leaf::new_error(
             StorageError{StorageError::Code::kLaterFormat,
-                         "data folder " + folder_ + " holds records of a later build"});
+                         "data folder " + folder_ + " contains records of a later version"});
       }
       if (!LoadRecord(key, cursor->value().ToString(), node)) {
-        return Damaged("data folder " + folder_ + " holds a damaged record");
+        return Damaged("data folder " + folder_ + " contains a damaged record");
       }
       cursor->Next();
     }
     for (auto& [group, stored] : node.groups) {
       if (!LoadEntries(group, *cursor, stored) || !LoadSnapshotParts(group, stored)) {
         return Damaged("data folder " + folder_ +
-                       " lacks a snapshot's part or holds a damaged entry");
+                       " is missing a part of a snapshot or contains a damaged entry");
       }
       if (!LogIsContiguous(stored)) {
-        return Damaged("data folder " + folder_ + " lacks entries of group " +
+        return Damaged("data folder " + folder_ + " is missing entries of group " +
                        std::to_string(group.value));
       }
     }
@@ -192,7 +192,7 @@
       std::optional<NodeId> stored = Unseal<NodeId>(present);
       if (stored != identity) {
         return leaf::new_error(StorageError{StorageError::Code::kForeignIdentity,
-                                            "data folder " + folder_ + " is another node's"});
+                                            "data folder " + folder_ + " belongs to another node"});
       }
       return {};
     }
@@ -212,7 +212,7 @@
     return Commit(batch);
   }
 
-  /// Writes under a generation that nothing names yet: a crash leaves it unread.
+  /// Writes under a generation that no record refers to yet; ignored after a crash.
   Result<void> WriteSnapshotPart(GroupId group, bool first, const std::string& part) override {
     SnapshotRecord& present = snapshots_[group];
     if (first) {
@@ -236,7 +236,7 @@
       }
       auto entry = status.ok() ? Unseal<consensus::Entry>(sealed) : std::nullopt;
       if (!entry) {
-        return Damaged("data folder " + folder_ + " holds a damaged entry");
+        return Damaged("data folder " + folder_ + " contains a damaged entry");
       }
       if (entry->term == wanted.term) {
         return entry;
@@ -303,7 +303,7 @@
     return true;
   }
 
-  /// Reads the group's log from the snapshot on, and only the keys of what was kept before it.
+  /// Reads the group's log after the snapshot, and only the keys of retained and staged entries.
   bool LoadEntries(GroupId group, rocksdb::Iterator& cursor, StoredGroup& stored) {
     std::string prefix = GroupKey('e', group);
     for (cursor.Seek(prefix); cursor.Valid() && cursor.key().starts_with(prefix); cursor.Next()) {
@@ -329,7 +329,7 @@
     return FromBigEndian(key.ToStringView().substr(prefix.size()));
   }
 
-  /// True for the many records of a group: they are read once its snapshot's place is known.
+  /// True for record types that are read per group, once its snapshot index is known.
   static bool IsReadPerGroup(const std::string& key) {
     return key != kIdentityKey && (key.front() == 'e' || key.front() == 't' || key.front() == 'p');
   }
@@ -371,13 +371,13 @@
     }
   }
 
-  /// Which entries of a group are stored: [first, end). Empty when both are equal.
+  /// Index range of a group's stored log: [first, end).
   struct StoredRange {
     consensus::LogIndex first = 0;
     consensus::LogIndex end = 0;
   };
 
-  /// Looks the range up at the group's first write; later it is kept.
+  /// @return the group's range, looked up at its first write and cached.
   StoredRange& RangeOf(GroupId group) {
     auto known = ranges_.find(group);
     if (known != ranges_.end()) {
@@ -386,7 +386,7 @@
     StoredRange range;
     std::string prefix = GroupKey('e', group);
     std::unique_ptr<rocksdb::Iterator> cursor(db_->NewIterator(rocksdb::ReadOptions()));
-    // What lies before is kept, and no part of the log.
+    // Entries before this index are retained ones and not part of the log.
     cursor->Seek(EntryKey(group, snapshots_[group].snapshot.index + 1));
     if (cursor->Valid() && cursor->key().starts_with(prefix)) {
       range.first = FromBigEndian(cursor->key().ToString().substr(prefix.size()));
@@ -396,8 +396,8 @@
     return ranges_[group] = range;
   }
 
-  /// Deletes the stored log below `end` but for what is kept. Such ranges never overlap:
-  /// overlapping ones make reading cost their square.
+  /// Deletes the stored log below `end` except for retained entries. The deleted ranges never
+  /// overlap: overlapping tombstones make reads quadratic.
   static void DropBelow(GroupId group, consensus::LogIndex end, StoredRange& range,
                         const std::vector<consensus::LogIndex>& retained,
                         rocksdb::WriteBatch& batch) {
@@ -422,8 +422,8 @@
     range.first = std::max(range.first, end);
   }
 
-  /// Deletes the log, what was kept and what was staged, but for `kept`. Only when a snapshot came
-  /// from the leader: it looks at every key.
+  /// Deletes all entries of the group except `retained`. Scans every key of the group, so it is
+  /// used only for a snapshot from the leader.
   void DropAllExcept(GroupId group, const std::vector<consensus::LogIndex>& retained,
                      rocksdb::WriteBatch& batch) {
     std::unique_ptr<rocksdb::Iterator> cursor(db_->NewIterator(rocksdb::ReadOptions()));
@@ -441,7 +441,7 @@
   void AddEntries(const GroupWrite& write, StoredRange& range, rocksdb::WriteBatch& batch) {
     consensus::LogIndex first = write.entries.front().index;
     for (consensus::LogIndex index = first; index < range.end; ++index) {
-      batch.Delete(EntryKey(write.group, index));  // A conflicting suffix: rare and short.
+      batch.Delete(EntryKey(write.group, index));  // Conflicting suffix: rare and short.
     }
     for (const consensus::Entry& entry : write.entries) {
       batch.Put(EntryKey(write.group, entry.index), Seal(entry));
@@ -457,7 +457,8 @@
     StoredRange& range = RangeOf(group);
     if (write.removed) {
       DropBelow(group, range.end, range, {}, batch);
-      // Also what was kept from before it. The group is left for good: once in its life.
+      // Includes retained entries. Overlapping ranges are acceptable, since a group is removed
+      // once.
       batch.DeleteRange(EntryKey(group, 0), EntryKey(group, UINT64_MAX));
       batch.DeleteRange(StagedKey(group, 0), StagedKey(group, UINT64_MAX));
       batch.Delete(GroupKey('h', group));
@@ -480,7 +481,7 @@
       const consensus::Snapshot& snapshot = *write.snapshot;
       record.snapshot = {snapshot.index, snapshot.term, snapshot.configuration, ""};
       batch.Put(GroupKey('s', group), Seal(record));
-      // Generations only grow: these ranges never overlap one another's live parts.
+      // Generations only increase: the range contains no part of the new snapshot.
       batch.DeleteRange(PartKey(group, dropped_below_[group], 0),
                         PartKey(group, record.generation, 0));
       dropped_below_[group] = record.generation;
@@ -502,7 +503,7 @@
     return {};
   }
 
-  /// Durable with the next commit.
+  /// Writes without a sync; durable after the next commit.
   Result<void> PutUnsynced(const std::string& key, const std::string& value) {
     rocksdb::WriteBatch batch;
     batch.Put(key, value);
@@ -523,10 +524,10 @@
   std::string folder_;
   std::shared_ptr<const StallCounter> stalls_;
   bool dropped_torn_tail_;
-  rocksdb::SequenceNumber durable_;  ///< All changes up to this one have been synced.
+  rocksdb::SequenceNumber durable_;  ///< Last synced change.
   std::map<GroupId, StoredRange> ranges_;
   std::map<GroupId, SnapshotRecord> snapshots_;
-  std::map<GroupId, std::uint64_t> dropped_below_;  // Generations whose parts are deleted.
+  std::map<GroupId, std::uint64_t> dropped_below_;  // Parts of earlier generations are deleted.
 };
 
 leaf::error_id CannotOpen(const std::string& folder, const rocksdb::Status& status) {
@@ -535,7 +536,7 @@
   return leaf::new_error(StorageError{code, "data folder " + folder + ": " + status.ToString()});
 }
 
-/// An opened database, and whether its write-ahead log ended in a torn record.
+/// An open database, and whether a torn tail of its write-ahead log was dropped.
 struct Opened {
   std::unique_ptr<rocksdb::DB> db;
   bool dropped_torn_tail = false;
@@ -546,12 +547,12 @@
   Opened opened;
   bool marked = MarksAreWritten(*options.env, folder);
   rocksdb::DB* db = nullptr;
-  // A record that was cut short at the end is an unsynced write; any other damage is refused.
+  // A truncated record at the end is an unsynced write; any other corruption is an error.
   options.wal_recovery_mode = rocksdb::WALRecoveryMode::kTolerateCorruptedTailRecords;
   rocksdb::Status status = rocksdb::DB::Open(options, folder, &db);
-  // A loss of power may also leave holes and zeros in what was not synced: then the log is read up
-  // to the first of them, and what is there is compared with what its marks say was synced. The
-  // marks are read only now: an opening reads the logs once.
+  // A power failure may also leave holes and zeros in unsynced data: then the log is recovered up
+  // to the first of them and compared with its marks. The marks are read only in this case, so that
+  // a normal opening reads the logs once.
   if (status.IsCorruption() && marked) {
     std::uint64_t durable = LastDurableMark(*options.env, folder);
     options.wal_recovery_mode = rocksdb::WALRecoveryMode::kPointInTimeRecovery;
@@ -559,7 +560,7 @@
     status = rocksdb::DB::Open(options, folder, &db);
     if (status.ok() && db->GetLatestSequenceNumber() < durable) {
       opened.db.reset(db);
-      return Damaged("data folder " + folder + " lacks changes that had been synced");
+      return Damaged("data folder " + folder + " is missing changes that had been synced");
     }
   }
   if (!status.ok()) {
@@ -567,7 +568,7 @@
   }
   opened.db.reset(db);
   if (opened.dropped_torn_tail || !marked) {
-    // Logs with a torn end, or without marks, are not read again.
+    // After a flush, logs with a torn tail or without marks are not read again.
     status = db->Flush(rocksdb::FlushOptions());
   }
   if (status.ok() && !marked) {
@@ -592,7 +593,7 @@
   table.block_cache = rocksdb::NewLRUCache(kBlockCacheBytes, /*num_shard_bits=*/0);
   table.filter_policy.reset(rocksdb::NewBloomFilterPolicy(kFilterBitsPerKey));
   options.table_factory.reset(rocksdb::NewBlockBasedTableFactory(table));
-  // Opening is not paced: nobody is served before it is done.
+  // Compactions are not limited during the opening, when no requests are served.
   options.rate_limiter = std::make_shared<CompactionRateLimiter>(kOpeningBytesPerSecond);
   options.avoid_flush_during_recovery = true;
   options.level0_file_num_compaction_trigger = kFilesBeforeCompaction;
@@ -601,10 +602,8 @@
   options.paranoid_checks = true;
   auto stalls = std::make_shared<StallCounter>();
   options.listeners.push_back(stalls);
-  // What a killed process left unsynced is read below and counts as stored from then on: without
-  // this the next loss of power took it from the middle of the log, which was refused. With this
-  // and the marks 0 of 5,000 generated histories of kills and losses of power are refused; without,
-  // the 97th was.
+  // Unsynced writes of a killed process are recovered below and treated as stored. Without a sync,
+  // a power failure could remove them from the middle of the log.
   rocksdb::Status synced = SyncWriteAheadLogs(*options.env, folder);
   if (!synced.ok()) {
     return CannotOpen(folder, synced);
--- a/src/storage/small_file.cc
+++ b/src/storage/small_file.cc
@@ -14,17 +14,17 @@
 namespace martenyard::storage {
 namespace {
 
-/// Without this a loss of power may bring the file's earlier name back, or neither.
-/// @return what failed, or nothing.
+/// Syncs directory entries: without it a rename may be undone by a power failure.
+/// @return an error message; empty on success.
 std::string SyncFolder(const std::string& folder) {
   int file = open(folder.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (file < 0) {
-    return absl::StrCat("cannot open ", folder, ": ", std::strerror(errno));
+    return absl::StrCat("cannot open directory ", folder, ": ", std::strerror(errno));
   }
   bool synced = fsync(file) == 0;
   int failure = errno;
   close(file);
-  return synced ? "" : absl::StrCat("cannot sync ", folder, ": ", std::strerror(failure));
+  return synced ? "" : absl::StrCat("cannot sync directory ", folder, ": ", std::strerror(failure));
 }
 
 std::string FolderOf(const std::string& path) {
@@ -67,11 +67,11 @@
 
 std::string CreateDirectories(const std::string& path) {
   std::error_code error;
-  bool made = std::filesystem::create_directories(path, error);
+  bool created = std::filesystem::create_directories(path, error);
   if (error) {
-    return absl::StrCat("cannot make ", path, ": ", error.message());
+    return absl::StrCat("cannot create directory ", path, ": ", error.message());
   }
-  return made ? SyncFolder(FolderOf(path)) : "";
+  return created ? SyncFolder(FolderOf(path)) : "";
 }
 
 }  // namespace martenyard::storage
--- a/src/storage/small_file.h
+++ b/src/storage/small_file.h
@@ -1,4 +1,4 @@
-// Small files that are replaced whole, for what must outlive a process and a loss of power.
+// Atomic, durable replacement of small files.
 #pragma once
 
 #include <optional>
@@ -6,16 +6,16 @@
 
 namespace martenyard::storage {
 
-/// Replaces a file so that it is whole after any loss of power: the old one or the new, and the new
-/// one once this has returned.
-/// @return what failed, or nothing.
+/// Replaces a file atomically: after a power failure it has either the old or the new contents, and
+/// the new ones once this function has returned.
+/// @return an error message; empty on success.
 std::string ReplaceFile(const std::string& path, const std::string& bytes);
 
-/// @return the file's bytes, or nothing if it can't be read.
+/// @return the file's contents, or nothing if it cannot be read.
 std::optional<std::string> ReadSmallFile(const std::string& path);
 
-/// Makes the folder, if it is missing, so that it is there after a loss of power.
-/// @return what failed, or nothing.
+/// Creates the directory and its parents if missing, and syncs the parent directory.
+/// @return an error message; empty on success.
 std::string CreateDirectories(const std::string& path);
 
 }  // namespace martenyard::storage
--- a/tests/storage/log_store_test.cc
+++ b/tests/storage/log_store_test.cc
@@ -57,7 +57,7 @@
       [](const StorageError& error) { return error.code; });
 }
 
-/// The contract of every durable store: what was written is there after it is opened again.
+/// Contract of every durable store: written data is read back after the store is reopened.
 class LogStoreContract : public ::testing::TestWithParam<bool> {
  protected:
   void SetUp() override { Open(); }
@@ -77,7 +77,7 @@
   std::unique_ptr<LogStore> store_;
 };
 
-TEST_P(LogStoreContract, KeepsIdentityAndRefusesAnother) {
+TEST_P(LogStoreContract, KeepsIdentityAndRejectsAnother) {
   ASSERT_TRUE(store_->SetIdentity(NodeId(5)));
   ASSERT_TRUE(store_->SetIdentity(NodeId(5)));
   EXPECT_EQ(CodeOf([&] { return store_->SetIdentity(NodeId(6)); }),
@@ -137,33 +137,33 @@
   return write;
 }
 
-/// True when the store gives the entry back as it was written.
+/// True when the store returns the entry as it was written.
 bool CanRead(LogStore& store, std::uint64_t index, std::uint64_t term) {
   auto found = *store.ReadEntry(GroupId(1), {index, term});
   return found && *found == MakeEntry(index, term);
 }
 
-TEST_P(LogStoreContract, KeptEntriesStayReadableBehindTheSnapshotAndTheOthersGo) {
+TEST_P(LogStoreContract, RetainedEntriesStayReadableBeforeTheSnapshotAndOthersAreDropped) {
   store_->Write({Entries(1, 8, 1)});
   EXPECT_TRUE(CanRead(*store_, 7, 1)) << "entries of the log are readable too";
   store_->Write({SnapshotAt(6, {2, 5})});
-  for (int life = 0; life < 2; ++life) {
+  for (int reopening = 0; reopening < 2; ++reopening) {
     StoredGroup group = Reopened();
     ASSERT_EQ(group.entries.size(), 2U);
-    EXPECT_EQ(group.entries.front().index, 7U) << "kept entries are no part of the log";
+    EXPECT_EQ(group.entries.front().index, 7U) << "retained entries are not part of the log";
     EXPECT_EQ(group.retained, (std::vector<consensus::LogIndex>{2, 5}));
     for (std::uint64_t index = 1; index <= 8; ++index) {
       bool there = index == 2 || index == 5 || index > 6;
       EXPECT_EQ(CanRead(*store_, index, 1), there) << index;
     }
-    EXPECT_FALSE(CanRead(*store_, 2, 9)) << "an entry of another term is another entry";
+    EXPECT_FALSE(CanRead(*store_, 2, 9)) << "an entry with another term is a different entry";
   }
   store_->Write({Entries(9, 12, 1)});
   store_->Write({SnapshotAt(11, {5, 8, 10})});
-  GroupWrite forget;
-  forget.group = GroupId(1);
-  forget.unreferenced = {5};
-  store_->Write({forget});
+  GroupWrite removal;
+  removal.group = GroupId(1);
+  removal.unreferenced = {5};
+  store_->Write({removal});
   StoredGroup group = Reopened();
   EXPECT_FALSE(CanRead(*store_, 5, 1));
   EXPECT_TRUE(CanRead(*store_, 8, 1));
@@ -180,8 +180,8 @@
   StoredGroup before = Reopened();
   EXPECT_EQ(before.entries.size(), 3U);
   EXPECT_EQ(before.entries[1].term, 1U);
-  EXPECT_TRUE(CanRead(*store_, 2, 1)) << "the log's own";
-  EXPECT_TRUE(CanRead(*store_, 2, 4)) << "the leader's, sent ahead";
+  EXPECT_TRUE(CanRead(*store_, 2, 1)) << "entry of the log";
+  EXPECT_TRUE(CanRead(*store_, 2, 4)) << "entry staged by the leader";
   GroupWrite install = SnapshotAt(20, {2, 9});
   install.snapshot_replaces_log = true;
   store_->Write({install});
@@ -197,7 +197,7 @@
 INSTANTIATE_TEST_SUITE_P(Stores, LogStoreContract, ::testing::Values(false, true),
                          [](const auto& info) { return info.param ? "RocksDb" : "Memory"; });
 
-/// One group's history, played on both kinds of store.
+/// Applies the history of one group to both kinds of store.
 class StorePair {
  public:
   StorePair() { Reopen(); }
@@ -216,7 +216,7 @@
     memory_->StageEntry(GroupId(1), entry);
     rocks_->StageEntry(GroupId(1), entry);
   }
-  void MustAgree(std::uint64_t last_index, std::uint64_t last_term) {
+  void AssertEqual(std::uint64_t last_index, std::uint64_t last_term) {
     StoredGroup left = memory_->Load()->groups[GroupId(1)];
     StoredGroup right = rocks_->Load()->groups[GroupId(1)];
     RC_ASSERT(left.entries == right.entries);
@@ -234,7 +234,7 @@
   std::unique_ptr<LogStore> rocks_;
 };
 
-std::vector<consensus::LogIndex> SomeOf(std::uint64_t first, std::uint64_t last) {
+std::vector<consensus::LogIndex> RandomSubset(std::uint64_t first, std::uint64_t last) {
   std::vector<consensus::LogIndex> chosen;
   for (std::uint64_t index = first; index <= last; ++index) {
     if (*rc::gen::inRange(0, 3) == 0) {
@@ -244,10 +244,10 @@
   return chosen;
 }
 
-RC_GTEST_PROP(LogStorePropertyTest, BothStoresKeepAndForgetTheSameEntries, ()) {
+RC_GTEST_PROP(LogStorePropertyTest, BothStoresRetainAndDropTheSameEntries, ()) {
   StorePair stores;
-  std::uint64_t last = 0;      // Index of the log's end.
-  std::uint64_t snapshot = 0;  // Its index.
+  std::uint64_t last = 0;      // Last index of the log.
+  std::uint64_t snapshot = 0;  // Index of the snapshot.
   std::uint64_t term = 1;
   std::vector<consensus::LogIndex> retained;
   auto steps = *rc::gen::inRange(1, 9);
@@ -260,7 +260,7 @@
         break;
       }
       case 1: {
-        // Another leader replaces what was not committed.
+        // A new leader replaces uncommitted entries.
         std::uint64_t from = *rc::gen::inRange<std::uint64_t>(snapshot + 1, last + 2);
         ++term;
         stores.Write(Entries(from, from, term));
@@ -269,8 +269,8 @@
       }
       case 2: {
         std::uint64_t at = *rc::gen::inRange<std::uint64_t>(snapshot, last + 1);
-        std::vector<consensus::LogIndex> wanted = SomeOf(snapshot + 1, at);
-        // What was forgotten before can't be wanted again.
+        std::vector<consensus::LogIndex> wanted = RandomSubset(snapshot + 1, at);
+        // Entries dropped by an earlier snapshot cannot be retained again.
         retained.insert(retained.end(), wanted.begin(), wanted.end());
         snapshot = at;
         stores.Write(SnapshotAt(at, retained));
@@ -286,10 +286,10 @@
         break;
       }
       default: {
-        // A leader's snapshot, with the entries that it names sent ahead.
+        // A snapshot from the leader, whose retained entries were staged before.
         ++term;
         snapshot = last + *rc::gen::inRange<std::uint64_t>(1, 5);
-        retained = SomeOf(last + 1, snapshot);
+        retained = RandomSubset(last + 1, snapshot);
         for (consensus::LogIndex index : retained) {
           stores.Stage(MakeEntry(index, term));
         }
@@ -304,12 +304,11 @@
       stores.Reopen();
     }
   }
-  stores.MustAgree(last, term);
+  stores.AssertEqual(last, term);
 }
 
-TEST(RocksDbLogStoreTest, LogOfManySmallWritesIsReadBackWhole) {
-  // Every append once left a range deletion up to the log's end: reading cost their square, in
-  // time and memory, and a daemon took minutes and gigabytes to start again.
+TEST(RocksDbLogStoreTest, LogOfManySmallWritesIsReadBackCompletely) {
+  // Guards against a range tombstone per append, which makes reading the log quadratic.
   constexpr std::uint64_t kWrites = 20000;
   Folder folder;
   {
@@ -327,7 +326,7 @@
   EXPECT_EQ(store->Load()->groups[GroupId(1)].entries.size(), kWrites);
 }
 
-TEST(RocksDbLogStoreTest, LargeSnapshotsReplaceEachOtherAndAreReadBackWhole) {
+TEST(RocksDbLogStoreTest, LargeSnapshotsReplaceEachOtherAndAreReadBackCompletely) {
   Folder folder;
   const GroupId kGroup(1);
   std::string last;
@@ -350,18 +349,17 @@
   EXPECT_EQ(store->Load().value().groups[kGroup].snapshot.data, last);
 }
 
-TEST(RocksDbLogStoreTest, WritesDoNotWaitForEarlierOnesToBeMerged) {
-  // A machine whose disk is filled anew gets entries faster than the store merges its files, which
-  // it does slowly so as to leave the processor to the replica. One write that waits for longer
-  // than an election's timeout costs the machine every group that it leads.
+TEST(RocksDbLogStoreTest, WritesDoNotStallOnCompactions) {
+  // A machine that is refilled receives entries faster than rate-limited compactions merge them. A
+  // write stall longer than the election timeout would cost the machine its leaderships.
   constexpr absl::Duration kShortestElectionTimeout = absl::Milliseconds(220);
   constexpr std::size_t kEntryBytes = std::size_t{16} << 10;
-  constexpr std::uint64_t kEntries = 400;  // Of each group.
-  constexpr std::uint32_t kGroups = 8;     // The files' ranges of keys overlap.
+  constexpr std::uint64_t kEntries = 400;  // Per group.
+  constexpr std::uint32_t kGroups = 8;     // Makes the key ranges of the files overlap.
   Folder folder;
   auto store = OpenRocksDbLogStore(folder.path()).value();
   ASSERT_TRUE(store->Load());
-  std::minstd_rand bytes;  // Text that doesn't compress.
+  std::minstd_rand bytes;  // Incompressible payloads.
   absl::Duration longest;
   for (std::uint64_t index = 1; index <= kEntries; ++index) {
     for (std::uint32_t group = 1; group <= kGroups; ++group) {
@@ -370,9 +368,9 @@
       entry.term = 1;
       std::generate_n(std::back_inserter(entry.payload), kEntryBytes,
                       [&] { return static_cast<char>(bytes()); });
-      absl::Time began = absl::Now();
+      absl::Time started = absl::Now();
       ASSERT_TRUE(store->StageEntry(GroupId(group), entry));
-      longest = std::max(longest, absl::Now() - began);
+      longest = std::max(longest, absl::Now() - started);
     }
   }
   EXPECT_LT(longest, kShortestElectionTimeout);
@@ -381,7 +379,7 @@
   }
 }
 
-TEST(RocksDbLogStoreTest, FolderInUseIsRefused) {
+TEST(RocksDbLogStoreTest, FolderInUseIsRejected) {
   Folder folder;
   auto first = std::move(*OpenRocksDbLogStore(folder.path()));
   EXPECT_EQ(CodeOf([&]() -> Result<void> {
@@ -391,9 +389,9 @@
             StorageError::Code::kCannotOpen);
 }
 
-// A record of a kind that only a later build writes counted as damage, and a machine that went back
-// to the earlier build set its log aside: its identity, and its vote, would have been lost.
-TEST(RocksDbLogStoreTest, RecordOfALaterBuildIsNoDamage) {
+// Guards against a downgrade that treats records of a later version as damage and so discards the
+// log with the machine's identity and vote.
+TEST(RocksDbLogStoreTest, RecordOfALaterVersionIsNotDamage) {
   Folder folder;
   {
     auto store = std::move(*OpenRocksDbLogStore(folder.path()));
@@ -414,7 +412,7 @@
   EXPECT_NE(CodeOf(open_and_load), StorageError::Code::kDamaged);
 }
 
-TEST(RocksDbLogStoreTest, DamagedLogIsRefusedAndNotServed) {
+TEST(RocksDbLogStoreTest, DamagedLogIsRejected) {
   Folder folder;
   {
     auto store = std::move(*OpenRocksDbLogStore(folder.path()));
@@ -432,7 +430,7 @@
     }
   }
   ASSERT_TRUE(damaged);
-  // Refused when it is opened or, at the latest, when it is read: never served.
+  // Rejected when it is opened or, at the latest, when it is loaded.
   auto open_and_load = [&]() -> Result<void> {
     BOOST_LEAF_AUTO(store, OpenRocksDbLogStore(folder.path()));
     BOOST_LEAF_CHECK(store->Load());
--- a/tests/storage/power_loss_test.cc
+++ b/tests/storage/power_loss_test.cc
@@ -1,15 +1,5 @@
-// All machines lost power while the disk of one storage machine was lost, and the ledger never
-// answered again. Its group had two of three machines left and needed both; a machine whose log is
-// found damaged sets it aside and is a stranger from then on, so one such log ended the group. And
-// a loss of power was taken for damage: a write that nobody had been told of, half there, failed
-// its checksum, and the whole log was refused. A second way led there, too: what a killed process
-// had written and not synced was read by the next one and counted as stored, but nothing made it
-// durable; the next loss of power took it from the middle of the log.
-//
-// What settled it, on the log store as it was: with the last write zeroed from any byte on,
-// "Corruption: checksum mismatch" at each opening; with the tail of an earlier process missing,
-// "lacks entries of group 1". With the write only cut short it opened, and the day that went well
-// has `disk_opened` with 10,891 entries at both machines that were left.
+// Power failures must not be mistaken for damage: torn unsynced writes are dropped, and what a
+// killed process left unsynced is durable once the store was reopened.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 #include <rocksdb/env.h>
@@ -29,9 +19,9 @@
 
 const NodeId kIdentity(7);
 const GroupId kGroup(1);
-constexpr std::uint64_t kTornWays = 60;
+constexpr std::uint64_t kSeeds = 60;
 
-/// A machine's disk, and the store that is open on it.
+/// A machine's disk and the store opened on it.
 class Disk {
  public:
   Disk() {
@@ -45,10 +35,10 @@
     std::filesystem::remove_all(folder_);
   }
 
-  /// @return what was found wrong with what is stored; empty if nothing was.
+  /// Reopens the store. @return the error's detail; empty on success.
   std::string Open() {
     store_.reset();
-    files_->StartAgain();
+    files_->Restart();
     return Recover<StorageError>(
         [&]() -> Result<std::string> {
           BOOST_LEAF_AUTO(opened, OpenRocksDbLogStore(folder_, env_.get()));
@@ -66,7 +56,7 @@
     write.group = kGroup;
     write.hard_state = consensus::HardState{1, NodeId(2)};
     for (consensus::LogIndex index = end_ + 1; index <= last; ++index) {
-      // Longer than the blocks that the log's file is cut into, now and then.
+      // Some entries are longer than a block of the write-ahead log.
       std::size_t size = index % 10 == 0 ? 70000 : 200;
       write.entries.push_back(
           {1, index, consensus::EntryKind::kCommand, std::string(size, 'x') + "."});
@@ -75,14 +65,14 @@
     end_ = stored ? last : end_;
     return stored;
   }
-  /// Two parts of a snapshot that no record names yet, not synced.
+  /// Writes two unsynced parts of an incomplete snapshot.
   void StageSnapshot() {
     Succeeds([&] { return store_->WriteSnapshotPart(kGroup, true, std::string(3000, 's')); });
     Succeeds([&] { return store_->WriteSnapshotPart(kGroup, false, std::string(3000, 't')); });
   }
-  /// The process is killed between a write and its sync.
-  void DieInAWrite() {
-    files_->DieAtNextSync();
+  /// Kills the process between a write and its sync.
+  void KillDuringWrite() {
+    files_->KillAtNextSync();
     EXPECT_FALSE(Append(end_ + 1));
     store_.reset();
   }
@@ -95,8 +85,8 @@
     const StoredGroup& group = stored_.groups[kGroup];
     return group.entries.empty() ? 0 : group.entries.back().index;
   }
-  /// Goes on from what was found.
-  void TakeStored() { end_ = last_stored(); }
+  /// Continues after the last entry found.
+  void ContinueFromStored() { end_ = last_stored(); }
 
  private:
   template <typename Attempt>
@@ -117,11 +107,11 @@
   consensus::LogIndex end_ = 0;
 };
 
-TEST(PowerLossTest, WriteUnderWayIsDroppedHoweverItWasTorn) {
-  for (std::uint64_t seed = 1; seed <= kTornWays; ++seed) {
+TEST(PowerLossTest, TornWriteInProgressIsDropped) {
+  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Disk disk;
     ASSERT_TRUE(disk.Append(9) && disk.Append(12));
-    disk.DieInAWrite();
+    disk.KillDuringWrite();
     disk.files().LosePower(seed);
     ASSERT_EQ(disk.Open(), "") << "seed " << seed;
     EXPECT_EQ(disk.identity(), kIdentity);
@@ -129,25 +119,25 @@
   }
 }
 
-TEST(PowerLossTest, WritesThatWereNotSyncedAreDroppedHoweverTheyWereTorn) {
-  for (std::uint64_t seed = 1; seed <= kTornWays; ++seed) {
+TEST(PowerLossTest, TornUnsyncedWritesAreDropped) {
+  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Disk disk;
     ASSERT_TRUE(disk.Append(12));
     disk.StageSnapshot();
-    disk.DieInAWrite();
+    disk.KillDuringWrite();
     disk.files().LosePower(seed);
     ASSERT_EQ(disk.Open(), "") << "seed " << seed;
     EXPECT_GE(disk.last_stored(), disk.last_acknowledged()) << "seed " << seed;
   }
 }
 
-TEST(PowerLossTest, WhatAKilledProcessLeftIsDurableOnceItIsReadAgain) {
+TEST(PowerLossTest, UnsyncedWritesOfAKilledProcessAreDurableAfterReopening) {
   Disk disk;
   ASSERT_TRUE(disk.Append(5));
-  disk.DieInAWrite();
+  disk.KillDuringWrite();
   ASSERT_EQ(disk.Open(), "");
-  ASSERT_EQ(disk.last_stored(), 6U) << "written, though nobody was told";
-  disk.TakeStored();
+  ASSERT_EQ(disk.last_stored(), 6U) << "written but not acknowledged";
+  disk.ContinueFromStored();
   ASSERT_TRUE(disk.Append(9));
   disk.Close();
   disk.files().LoseAllUnsynced();
@@ -155,14 +145,14 @@
   EXPECT_EQ(disk.last_stored(), 9U);
 }
 
-TEST(PowerLossTest, TornTailOfAnEarlierLifeHidesNothingThatWasStoredLater) {
-  for (std::uint64_t seed = 1; seed <= kTornWays; ++seed) {
+TEST(PowerLossTest, TornTailOfAnEarlierProcessDoesNotHideLaterWrites) {
+  for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     Disk disk;
     ASSERT_TRUE(disk.Append(5));
-    disk.DieInAWrite();
+    disk.KillDuringWrite();
     disk.files().LosePower(seed);
     ASSERT_EQ(disk.Open(), "") << "seed " << seed;
-    disk.TakeStored();
+    disk.ContinueFromStored();
     ASSERT_TRUE(disk.Append(9));
     disk.Close();
     ASSERT_EQ(disk.Open(), "") << "seed " << seed;
@@ -170,8 +160,8 @@
   }
 }
 
-// Whatever comes in whatever order: what was acknowledged is there, and the machine is itself.
-RC_GTEST_PROP(PowerLossProperty, AcknowledgedEntriesOutliveKillsAndLossesOfPower, ()) {
+// Random histories: acknowledged entries and the identity survive.
+RC_GTEST_PROP(PowerLossProperty, AcknowledgedEntriesSurviveKillsAndPowerFailures, ()) {
   Disk disk;
   auto steps = *rc::gen::inRange(1, 12);
   for (int step = 0; step < steps; ++step) {
@@ -185,7 +175,7 @@
       continue;
     }
     if (*rc::gen::inRange(0, 2) == 0) {
-      disk.DieInAWrite();
+      disk.KillDuringWrite();
     }
     disk.Close();
     if (kind == 4) {
@@ -194,7 +184,7 @@
     RC_ASSERT(disk.Open() == "");
     RC_ASSERT(disk.identity() == kIdentity);
     RC_ASSERT(disk.last_stored() >= disk.last_acknowledged());
-    disk.TakeStored();
+    disk.ContinueFromStored();
   }
 }
 
--- a/tests/storage/support/power_loss_files.cc
+++ b/tests/storage/support/power_loss_files.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-IOStatus ProcessIsDead() { return IOStatus::IOError("the process was killed"); }
+IOStatus ProcessKilledError() { return IOStatus::IOError("the process was killed"); }
 
 void Zero(const std::string& path, std::uint64_t from, std::uint64_t to) {
   std::fstream file(path, std::ios::in | std::ios::out | std::ios::binary);
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-/// A file that tells what is written to it, and what is synced.
+/// A file that reports its writes and syncs to `PowerLossFiles`.
 class PowerLossFile : public rocksdb::FSWritableFileOwnerWrapper {
  public:
   PowerLossFile(std::unique_ptr<FSWritableFile>&& file, PowerLossFiles& files, std::string path)
@@ -35,15 +35,15 @@
   IOStatus Append(const rocksdb::Slice& data, const IOOptions& options,
                   IODebugContext* debug) override {
     std::uint64_t offset = target()->GetFileSize(options, debug);
-    return files_.Appended(path_, offset, data.size()) ? target()->Append(data, options, debug)
-                                                       : ProcessIsDead();
+    return files_.RecordAppend(path_, offset, data.size()) ? target()->Append(data, options, debug)
+                                                           : ProcessKilledError();
   }
   IOStatus Append(const rocksdb::Slice& data, const IOOptions& options,
                   const rocksdb::DataVerificationInfo& /*info*/, IODebugContext* debug) override {
     return Append(data, options, debug);
   }
   IOStatus Sync(const IOOptions& options, IODebugContext* debug) override {
-    return files_.Synced(path_) ? target()->Sync(options, debug) : ProcessIsDead();
+    return files_.RecordSync(path_) ? target()->Sync(options, debug) : ProcessKilledError();
   }
   IOStatus Fsync(const IOOptions& options, IODebugContext* debug) override {
     return Sync(options, debug);
@@ -54,49 +54,50 @@
   std::string path_;
 };
 
-bool PowerLossFiles::Appended(const std::string& path, std::uint64_t offset, std::uint64_t size) {
+bool PowerLossFiles::RecordAppend(const std::string& path, std::uint64_t offset,
+                                  std::uint64_t size) {
   std::lock_guard<std::mutex> lock(mutex_);
-  if (!dead_) {
+  if (!killed_) {
     unsynced_[path].push_back({offset, size});
   }
-  return !dead_;
+  return !killed_;
 }
 
-bool PowerLossFiles::Synced(const std::string& path) {
+bool PowerLossFiles::RecordSync(const std::string& path) {
   std::lock_guard<std::mutex> lock(mutex_);
-  dead_ = dead_ || dies_;
-  if (!dead_) {
+  killed_ = killed_ || kill_at_next_sync_;
+  if (!killed_) {
     unsynced_.erase(path);
   }
-  return !dead_;
+  return !killed_;
 }
 
-void PowerLossFiles::DieAtNextSync() {
+void PowerLossFiles::KillAtNextSync() {
   std::lock_guard<std::mutex> lock(mutex_);
-  dies_ = true;
+  kill_at_next_sync_ = true;
 }
 
-void PowerLossFiles::StartAgain() {
+void PowerLossFiles::Restart() {
   std::lock_guard<std::mutex> lock(mutex_);
-  dies_ = false;
-  dead_ = false;
+  kill_at_next_sync_ = false;
+  killed_ = false;
 }
 
-void PowerLossFiles::Tear(const std::string& path, const Unsynced& pieces, Random& random) {
-  std::uint64_t end = pieces.front().offset;  // Of what is there at all.
-  for (const Piece& piece : pieces) {
-    std::uint64_t piece_end = piece.offset + piece.size;
+void PowerLossFiles::Tear(const std::string& path, const Unsynced& writes, Random& random) {
+  std::uint64_t end = writes.front().offset;  // New end of the file.
+  for (const WriteRange& write : writes) {
+    std::uint64_t write_end = write.offset + write.size;
     std::uint64_t kind = random.Below(3);
-    if (kind == 0) {  // Missing: a hole if something behind it is there.
-      Zero(path, piece.offset, piece_end);
+    if (kind == 0) {  // Lost: a hole if a later write is kept.
+      Zero(path, write.offset, write_end);
       continue;
     }
-    std::uint64_t torn_at = piece.offset + random.Below(piece.size + 1);
-    bool cut_there = random.Below(2) == 0;
+    std::uint64_t torn_at = write.offset + random.Below(write.size + 1);
+    bool truncated = random.Below(2) == 0;
     if (kind == 1) {
-      Zero(path, torn_at, piece_end);
+      Zero(path, torn_at, write_end);
     }
-    end = kind == 1 && cut_there ? torn_at : piece_end;
+    end = kind == 1 && truncated ? torn_at : write_end;
   }
   std::filesystem::resize_file(path, end);
 }
@@ -104,9 +105,9 @@
 void PowerLossFiles::LosePower(std::uint64_t seed) {
   std::lock_guard<std::mutex> lock(mutex_);
   Random random(seed);
-  for (const auto& [path, pieces] : unsynced_) {
-    if (!pieces.empty() && std::filesystem::exists(path)) {
-      Tear(path, pieces, random);
+  for (const auto& [path, writes] : unsynced_) {
+    if (!writes.empty() && std::filesystem::exists(path)) {
+      Tear(path, writes, random);
     }
   }
   unsynced_.clear();
@@ -114,9 +115,9 @@
 
 void PowerLossFiles::LoseAllUnsynced() {
   std::lock_guard<std::mutex> lock(mutex_);
-  for (const auto& [path, pieces] : unsynced_) {
-    if (!pieces.empty() && std::filesystem::exists(path)) {
-      std::filesystem::resize_file(path, pieces.front().offset);
+  for (const auto& [path, writes] : unsynced_) {
+    if (!writes.empty() && std::filesystem::exists(path)) {
+      std::filesystem::resize_file(path, writes.front().offset);
     }
   }
   unsynced_.clear();
--- a/tests/storage/support/power_loss_files.h
+++ b/tests/storage/support/power_loss_files.h
@@ -1,7 +1,5 @@
-// Files as a machine has them that may lose its power: what was written and not synced may be
-// there, missing or torn afterwards, each write by itself. Below it are real files.
-//
-// Names are not covered: a file that was created, renamed or removed keeps that.
+// File system that simulates power failures on real files: each unsynced write may be kept, lost or
+// torn. Creations, renames and deletions of files are always durable.
 #pragma once
 
 #include <rocksdb/file_system.h>
@@ -22,13 +20,13 @@
   PowerLossFiles() : rocksdb::FileSystemWrapper(rocksdb::FileSystem::Default()) {}
   const char* Name() const override { return "PowerLossFiles"; }
 
-  /// The next sync, and all that follows it, fails and has no effect: the process is killed there.
-  void DieAtNextSync();
-  /// The process has been started again: the files are as it had written them.
-  void StartAgain();
-  /// Tears what was not synced, as the seed says.
+  /// Simulates a kill at the next sync: it and all later operations fail without effect.
+  void KillAtNextSync();
+  /// Simulates a restart of the process; the files are unchanged.
+  void Restart();
+  /// Tears unsynced writes at random.
   void LosePower(std::uint64_t seed);
-  /// All that was not synced is gone.
+  /// Drops all unsynced writes.
   void LoseAllUnsynced();
 
   rocksdb::IOStatus NewWritableFile(const std::string& path, const rocksdb::FileOptions& options,
@@ -46,21 +44,21 @@
  private:
   friend class PowerLossFile;
 
-  struct Piece {
+  struct WriteRange {
     std::uint64_t offset = 0;
     std::uint64_t size = 0;
   };
-  /// What was written since the last sync, in order.
-  using Unsynced = std::vector<Piece>;
+  /// Writes since the last sync, in order.
+  using Unsynced = std::vector<WriteRange>;
 
-  bool Appended(const std::string& path, std::uint64_t offset, std::uint64_t size);
-  bool Synced(const std::string& path);
-  static void Tear(const std::string& path, const Unsynced& pieces, Random& random);
+  bool RecordAppend(const std::string& path, std::uint64_t offset, std::uint64_t size);
+  bool RecordSync(const std::string& path);
+  static void Tear(const std::string& path, const Unsynced& writes, Random& random);
 
-  std::mutex mutex_;  // RocksDB flushes on threads of its own.
+  std::mutex mutex_;  // RocksDB flushes on its own threads.
   std::map<std::string, Unsynced> unsynced_;
-  bool dies_ = false;
-  bool dead_ = false;
+  bool kill_at_next_sync_ = false;
+  bool killed_ = false;
 };
 
 }  // namespace martenyard::storage
