--- a/src/ledger/group_replica.cc
+++ b/src/ledger/group_replica.cc
@@ -11,9 +11,9 @@
 constexpr absl::Duration kExpiryCheckInterval = absl::Seconds(1);
 constexpr std::size_t kExpiriesPerCheck = 64;
 
-/// Builds differ in what they make of a later attempt that did not run: some void the key, though
-/// an earlier attempt may have run. All of them take "unknown" alike; it costs the attempt's whole
-/// reservation.
+/// Versions differ in how they apply `kNotRun` of a later attempt: some void the key, though an
+/// earlier attempt may have run. All versions apply `kUnknown` alike, at the cost of the attempt's
+/// whole reservation.
 void UseCompatibleOutcome(FinishCall& finish) {
   if (finish.outcome == CallState::kNotRun && finish.grant.attempt > kFirstAttempt) {
     finish.outcome = CallState::kUnknown;
@@ -71,7 +71,7 @@
 absl::Time GroupReplica::InitialLeaseExpiry(const ProgramId& id) const {
   const ProgramRecord& program = *ledger_.Find(id);
   auto dead = down_members_.find(program.Running()->gateway);
-  // A daemon that came back may run newer calls under the same node id.
+  // A restarted daemon may run newer calls under the same node id.
   bool ran_there =
       dead != down_members_.end() && program.last_activity_ms <= absl::ToUnixMillis(dead->second);
   return ran_there ? now_ : now_ + options_.grant_lease;
@@ -115,8 +115,8 @@
 
 void GroupReplica::LapseExpiredGrants() {
   for (const ProgramId& program : ledger_.running()) {
-    // A new leader does not know when a grant was last heard of: it gives each a whole lease,
-    // unless its gateway is known to be dead.
+    // A new leader does not know when a grant was last renewed: it gives each a full lease unless
+    // the gateway is known to be down.
     auto lease = leases_.emplace(program, InitialLeaseExpiry(program)).first;
     if (lease->second > now_ || lapsing_.contains(program)) {
       continue;
@@ -193,11 +193,11 @@
     return false;
   }
   if (running != nullptr) {
-    // A finished call's stored answer needs no turn.
+    // The stored result of a finished call is returned without queueing.
     const CallRecord* existing = program->Find(command.key);
     return existing == nullptr || existing->state == CallState::kRunning;
   }
-  // Nothing runs now, but earlier arrivals go first.
+  // No call is running, but calls queued earlier go first.
   auto queue = waiting_.find(command.program);
   return queue != waiting_.end() && !queue->second.empty();
 }
@@ -277,7 +277,7 @@
 }
 
 void GroupReplica::OnCheckPrograms(const Requester& requester, const CheckPrograms& check) {
-  // A stale "over" would drop a live program's context: speed, not correctness. No read round.
+  // No read round: a stale reply would only drop the cached context of a live program.
   LedgerReply reply;
   if (!LedgerIsCurrent()) {
     SendStatus(requester, ReplyStatus::kNotLeader);
@@ -323,7 +323,7 @@
   }
   auto command = wire::Decode<Command>(entry.payload);
   if (!command) {
-    return;  // Every replica skips it alike.
+    return;  // Skipped by every replica.
   }
   ApplyResult result = ledger_.Apply(*command);
   AfterCommand(*command, result);
@@ -364,7 +364,7 @@
     if (result.verdict == Verdict::kDone) {
       leases_[begin->program] = InitialLeaseExpiry(begin->program);
     } else {
-      settled = begin->program;  // A refused waiter must not block those behind it.
+      settled = begin->program;  // A rejected call must not block the queue.
     }
   } else if (const auto* finish = std::get_if<FinishCall>(&command.operation)) {
     settled = finish->grant.program;
--- a/src/ledger/group_replica.h
+++ b/src/ledger/group_replica.h
@@ -1,5 +1,5 @@
-// One group's replica: the replicated log, its ledger, and the leader's duties (turn queue, grant
-// leases, expiry). Decision code only.
+// Replica of one group: the replicated log, its ledger and the leader's tasks (call queue, grant
+// leases, expiry). Decision logic: no I/O.
 #pragma once
 
 #include <cstdint>
@@ -19,16 +19,16 @@
 
 namespace martenyard::ledger {
 
-/// Tunables of a group replica.
+/// Tuning parameters of a group replica.
 struct GroupOptions {
   consensus::RaftOptions raft;
-  absl::Duration grant_lease = absl::Seconds(3);  ///< A gateway silent for this long lost its call.
-  std::size_t max_waiting_calls = 16;             ///< Calls of one program waiting for their turn.
-  std::size_t max_pending = 20000;                ///< Commands and reads under way at one leader.
+  absl::Duration grant_lease = absl::Seconds(3);  ///< Unless renewed, the call lapses.
+  std::size_t max_waiting_calls = 16;             ///< Queued calls per program.
+  std::size_t max_pending = 20000;                ///< Pending commands and reads per leader.
   std::uint64_t snapshot_log_bytes = std::uint64_t{4} << 20;  ///< Or the last snapshot's size.
 };
 
-/// An answer to one requester.
+/// A reply to be sent to one requester.
 struct OutgoingLedgerReply {
   NodeId to;
   LedgerReply reply;
@@ -41,18 +41,18 @@
 
   void Tick(absl::Time now);
   void OnRaftMessage(absl::Time now, NodeId from, const consensus::RaftMessage& message);
-  /// `member`'s process is known to have died before `died_before`: calls that it had begun by
-  /// then lapse now. A process that came back since runs on.
+  /// `member`'s process is known to have ended before `died_before`: calls that it began until then
+  /// lapse at once. Calls of a restarted process are not affected.
   void OnMemberDown(absl::Time now, NodeId member, absl::Time died_before);
   void OnRequest(absl::Time now, NodeId from, const LedgerRequest& request);
-  /// Proposes what the leader itself decides, such as acknowledged releases.
+  /// Proposes an operation without a requester, such as acknowledged releases.
   void ProposeInternal(Operation operation);
 
-  /// True when `TakeWork` has something to store, send or apply.
+  /// True when there is something to store, send or apply.
   bool HasWork() const;
-  /// Takes what to store now; the owner stores it, sends the messages and calls `Applied`.
+  /// The owner stores the result, sends its messages and calls `Apply`.
   consensus::Ready TakeReady() { return raft_.TakeReady(); }
-  /// Applies what `ready` committed. @return a snapshot to store, if one is due.
+  /// Applies the committed entries of `ready`. @return a snapshot to store, if one is due.
   std::optional<consensus::Snapshot> Apply(const consensus::Ready& ready);
   std::vector<OutgoingLedgerReply> TakeReplies();
 
@@ -60,7 +60,7 @@
   const consensus::Raft& raft() const { return raft_; }
   const Ledger& ledger() const { return ledger_; }
   GroupId group() const { return group_; }
-  /// Leader only: contexts to release, to be acknowledged by `ProposeOwn(AcknowledgeRelease)`.
+  /// Leader only: contexts to release, to be acknowledged by `ProposeInternal(AcknowledgeRelease)`.
   std::vector<ReleaseOrder> DueReleases(std::size_t limit) const;
 
  private:
@@ -75,7 +75,7 @@
     std::uint64_t arrival = 0;
   };
   struct WaitingCall {
-    std::uint64_t arrival = 0;  // Calls of one program get their turns in this order.
+    std::uint64_t arrival = 0;  // Calls of one program run in this order.
     Requester requester;
     BeginCall command;
   };
@@ -83,9 +83,9 @@
   void OnOperation(const Requester& requester, const Operation& operation);
   bool MustWait(const BeginCall& command) const;
   void EnqueueCall(WaitingCall call);
-  /// @return false when nothing was proposed; the requester has then been told.
+  /// @return false when nothing was proposed; a reply to the requester is then queued.
   bool Propose(const Requester& requester, Operation operation, std::uint64_t arrival = 0);
-  /// A request whose answer must come from the present leader: it waits for a quorum's word.
+  /// A linearizable query: served after a quorum has confirmed the leadership.
   using LeaderQuery = std::variant<ReadProgram, RenewGrants>;
   void OnQuery(const Requester& requester, LeaderQuery query);
   LedgerReply Evaluate(const ReadProgram& read) const;
@@ -93,17 +93,17 @@
   LedgerReply Evaluate(const RenewGrants& renew);
   void OnCheckPrograms(const Requester& requester, const CheckPrograms& check);
   void ApplyEntry(const consensus::Entry& entry);
-  /// True when a proposed call found another one under way: it waits like a later arrival.
+  /// True when another call was running when a begin command was applied; the call is queued.
   static bool LostRaceToBegin(const ApplyResult& result);
   void AfterCommand(const Command& command, const ApplyResult& result);
   void ProposeNextWaiting(const ProgramId& program);
   void ServeQueries();
   void FailPendingRequests();
   void UpdateLeadership();
-  /// True when this leader's ledger holds all that was ever committed.
+  /// True when this leader has applied all committed entries.
   bool LedgerIsCurrent() const;
   void LapseExpiredGrants();
-  /// @return when the running call's gateway counts as gone if nothing is heard from it.
+  /// @return when the grant of the program's running call expires unless it is renewed.
   absl::Time InitialLeaseExpiry(const ProgramId& program) const;
   void EndExpiredPrograms();
   std::optional<consensus::Snapshot> SnapshotIfDue();
@@ -125,9 +125,9 @@
   std::uint64_t last_arrival_ = 0;
   std::map<consensus::LogIndex, Proposal> proposals_;
   std::map<ProgramId, std::deque<WaitingCall>> waiting_;
-  std::map<ProgramId, absl::Time> leases_;     // When each running call's gateway counts as gone.
-  std::map<NodeId, absl::Time> down_members_;  // By when each is known to have died.
-  std::set<ProgramId> lapsing_;                // Lapse proposed, not yet applied.
+  std::map<ProgramId, absl::Time> leases_;     // Expiry of each running call's grant.
+  std::map<NodeId, absl::Time> down_members_;  // When each was last reported down.
+  std::set<ProgramId> lapsing_;                // Lapse proposed but not applied.
   std::uint64_t last_query_id_ = 0;
   struct PendingQuery {
     Requester requester;
--- a/src/ledger/ledger.cc
+++ b/src/ledger/ledger.cc
@@ -9,7 +9,7 @@
 namespace martenyard::ledger {
 namespace {
 
-/// A program that ended is kept this long, so that callers can still fetch answers.
+/// Retention of ended programs, during which callers can still fetch results.
 constexpr std::int64_t kEndedRetentionMs = std::int64_t{24} * 3600 * 1000;
 
 ApplyResult WithVerdict(Verdict verdict) {
@@ -34,8 +34,8 @@
   return result;
 }
 
-/// What a finished attempt makes known of its call. That a later attempt did not run says nothing
-/// of the ones before it, of which it is only known that they may have run.
+/// State of a call after an attempt finished. If a later attempt did not run, the call remains
+/// unknown, since an earlier attempt may have run.
 CallState StateAfter(const CallRecord& call, CallState outcome) {
   bool first = call.attempt == kFirstAttempt;
   return outcome == CallState::kNotRun && !first ? CallState::kUnknown : outcome;
@@ -63,7 +63,7 @@
 }
 
 const CallRecord* ProgramRecord::Running() const {
-  // Calls run one at a time, but a void key may stand behind the running call.
+  // Calls run one at a time, but a void key may follow the running call.
   auto found = std::find_if(calls.rbegin(), calls.rend(), [](const CallRecord& call) {
     return call.state == CallState::kRunning;
   });
@@ -193,7 +193,7 @@
     return BeginExisting(*program, const_cast<CallRecord&>(*existing), command);
   }
   if (std::optional<Verdict> refusal = CheckBegin(*program, command)) {
-    // These reasons may go away; a late duplicate must not run after "not run" was said.
+    // These conditions may change; a late duplicate must not run after "not run" was reported.
     if (*refusal == Verdict::kBudgetExhausted || *refusal == Verdict::kNotAllowed) {
       AddVoid(*program, command.key, command.request_hash);
     }
@@ -225,9 +225,9 @@
     return WithVerdict(Verdict::kKeyReused);
   }
   if (call.state == CallState::kRunning && call.admission == command.admission) {
-    return Begun(program, call);  // The same request again, because its answer was lost.
+    return Begun(program, call);  // Retried request whose reply was lost.
   }
-  // Only the newest call may run again: a later turn may already build on the gap before it.
+  // Only the latest call may run again: later turns may already have used a history without it.
   bool newest = std::none_of(program.calls.begin(), program.calls.end(), [&](const auto& other) {
     return other.sequence > call.sequence && other.state != CallState::kNotRun;
   });
@@ -264,7 +264,7 @@
   }
   auto& engines = program.engines;
   engines.erase(std::remove(engines.begin(), engines.end(), engine), engines.end());
-  engines.push_back(engine);  // The last is where the context is warmest.
+  engines.push_back(engine);  // The last engine used the context most recently.
 }
 
 void Ledger::Settle(ProgramRecord& program, CallRecord& call, CallState state, Tokens charge) {
@@ -292,7 +292,7 @@
                ? WithVerdict(Verdict::kStaleGrant)
                : WithCall(repeated ? Verdict::kAlready : Verdict::kStaleGrant, *stored);
   }
-  // Nobody can use more than was reserved; an attempt of unknown outcome is charged whole.
+  // The charge is capped at the reservation; an attempt with unknown outcome is charged in full.
   Tokens charge = std::clamp<Tokens>(command.used, 0, call->reserved);
   if (command.outcome == CallState::kUnknown) {
     charge = call->reserved;
@@ -344,7 +344,7 @@
     return WithVerdict(Verdict::kUnknownProgram);
   }
   if (program->ended) {
-    // Ending an ended program after its keeping time forgets it.
+    // Ending an ended program after its retention deletes it.
     if (now_ms_ >= ExpiryTime(*program)) {
       expiry_.erase({ExpiryTime(*program), program->id});
       programs_.erase(command.program);
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -1,5 +1,5 @@
-// The state machine of one group: program order, history, budgets, at-most-once records, outbox.
-// Deterministic: the same commands in the same order give the same state on every replica.
+// Replicated state machine of one group: program order, history, budgets, at-most-once records,
+// outbox. Deterministic: the same command sequence produces the same state on every replica.
 #pragma once
 
 #include <cstdint>
@@ -24,15 +24,16 @@
   /// @return the program's calls that ran before the one numbered `sequence`, in order.
   std::vector<CallRecord> HistoryBefore(const ProgramId& program, std::uint32_t sequence) const;
   const std::map<std::uint64_t, ReleaseOrder>& outbox() const { return outbox_; }
-  /// Programs with a call under way; the leader watches over their grants.
+  /// Programs with a running call, whose grants the leader monitors.
   const std::set<ProgramId>& running() const { return running_; }
   std::size_t program_count() const { return programs_.size(); }
-  /// @return programs not ended whose idle or wall time was over at `now_ms`, at most `limit`.
+  /// @return at most `limit` programs without a running call whose expiry time is at or before
+  /// `now_ms`.
   std::vector<ProgramId> Expired(UnixMillis now_ms, std::size_t limit) const;
 
-  /// @return the whole state, for `Restore` on another replica.
+  /// @return the serialized state, for `Restore`.
   std::string Serialize() const;
-  /// @return false, with the state unchanged, when `data` is not a state.
+  /// @return false, with the state unchanged, when `data` cannot be decoded.
   bool Restore(const std::string& data);
 
  private:
@@ -46,10 +47,10 @@
 
   ProgramRecord* FindMutable(const ProgramId& program);
   ApplyResult BeginExisting(ProgramRecord& program, CallRecord& call, const BeginCall& command);
-  /// Makes the key void: whoever sends the request again, late or in vain, gets the same answer.
+  /// Makes the key void: every repetition of the request gets the same reply.
   CallRecord& AddVoid(ProgramRecord& program, const CallKey& key, std::uint64_t request_hash);
   std::optional<Verdict> CheckBegin(const ProgramRecord& program, const BeginCall& command) const;
-  /// @return the running call that `grant` names in its present attempt, or null.
+  /// @return the running call whose current attempt `grant` identifies, or null.
   CallRecord* FindGranted(ProgramRecord& program, const Grant& grant);
   void Settle(ProgramRecord& program, CallRecord& call, CallState state, Tokens charge);
   void End(ProgramRecord& program, const std::string& reason);
@@ -62,10 +63,10 @@
   std::map<PartnerName, std::uint64_t> epochs_;
   std::map<std::uint64_t, ReleaseOrder> outbox_;
   std::set<ProgramId> running_;
-  std::set<std::pair<UnixMillis, ProgramId>> expiry_;  // When each live program must be looked at.
+  std::set<std::pair<UnixMillis, ProgramId>> expiry_;  // Expiry time of each program.
 };
 
-/// @return when `program` expires unless something happens.
+/// @return when `program` expires without further activity.
 UnixMillis ExpiryTime(const ProgramRecord& program);
 
 }  // namespace martenyard::ledger
--- a/src/ledger/messages.h
+++ b/src/ledger/messages.h
@@ -1,4 +1,4 @@
-// What gateways ask of a group's leader, and its answers.
+// Requests of gateways to a group's leader, and its replies.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
   }
 };
 
-/// Keeps the sender's grants alive; the answer lists those that are no longer held.
+/// Renews the sender's grants; the reply lists those that are no longer held.
 struct RenewGrants {
   std::vector<Grant> grants;
   template <class Archive>
@@ -29,7 +29,7 @@
   }
 };
 
-/// Asks which of these programs are over (ended or never known), for the context sweep.
+/// Queries which of these programs have ended or are unknown, for the context sweep.
 struct CheckPrograms {
   std::vector<ProgramId> programs;
   template <class Archive>
@@ -51,10 +51,10 @@
 };
 
 enum class ReplyStatus : std::uint8_t {
-  kAnswered,    ///< `result`, `program` or `grants_lost` hold the answer.
-  kNotLeader,   ///< Nothing was done here; ask `leader` if it is set.
-  kUncertain,   ///< Leadership was lost while the command was on its way: ask again.
-  kOverloaded,  ///< Nothing was done; the leader has too much waiting.
+  kAnswered,    ///< `result`, `program` or `grants_lost` hold the reply.
+  kNotLeader,   ///< Nothing was done; retry at `leader` if set.
+  kUncertain,   ///< Leadership was lost before the command was committed: retry.
+  kOverloaded,  ///< Nothing was done; the leader has too many pending requests.
 };
 
 struct LedgerReply {
--- a/src/ledger/types.h
+++ b/src/ledger/types.h
@@ -1,4 +1,4 @@
-// The program ledger's records, the commands on its log and their results.
+// Records of the program ledger, the commands in its log and their results.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +12,25 @@
 
 namespace martenyard::ledger {
 
-/// Unix time in milliseconds, taken by the leader when it proposed a command.
+/// Unix time in milliseconds, set by the leader when it proposes a command.
 using UnixMillis = std::int64_t;
 /// Model tokens.
 using Tokens = std::int64_t;
 
-/// The number of a call's first attempt; each later one follows an outcome that is unknown.
+/// Number of a call's first attempt; each later one follows an unknown outcome.
 inline constexpr std::uint32_t kFirstAttempt = 1;
 
 enum class CallKind : std::uint8_t { kModel, kTool, kApplication };
 
-/// What is known of a call.
+/// Known state of a call.
 enum class CallState : std::uint8_t {
-  kRunning,  ///< Intent committed; the back end may have been asked.
+  kRunning,  ///< Intent committed; the request may have been sent to the back end.
   kRan,      ///< The result is stored.
-  kUnknown,  ///< It may or may not have run; never sent again unless repeatable.
-  kNotRun,   ///< It surely did not run; the key is void and can't run later.
+  kUnknown,  ///< May or may not have run; not sent again unless repeatable.
+  kNotRun,   ///< Did not run; the key is void and cannot run later.
 };
 
-/// What a program may use; set at creation from the partner's bundle.
+/// Resource limits of a program, set at creation from the partner's bundle.
 struct ProgramLimits {
   Tokens budget_tokens = 0;
   std::uint32_t max_calls = 0;
@@ -45,7 +45,7 @@
   }
 };
 
-/// Names one attempt of one call; an older attempt's holder can commit nothing.
+/// Identifies one attempt of one call; fences off holders of earlier attempts.
 struct Grant {
   ProgramId program;
   CallKey key;
@@ -66,12 +66,12 @@
   bool repeatable = false;
   CallState state = CallState::kRunning;
   std::uint32_t attempt = kFirstAttempt;
-  AdmissionId admission;  ///< Whose request began the present attempt.
+  AdmissionId admission;  ///< The request that began the current attempt.
   NodeId gateway;         ///< The daemon that runs it.
   Tokens reserved = 0;
   Tokens charged = 0;
   std::string turn;    ///< The caller's new messages or arguments, JSON.
-  std::string result;  ///< The answer, JSON; empty until it ran.
+  std::string result;  ///< The result, JSON; empty until it ran.
 
   friend bool operator==(const CallRecord&, const CallRecord&) = default;
   template <class Archive>
@@ -85,7 +85,7 @@
   ProgramId id;
   PartnerName partner;
   std::string program_kind;  ///< The program's name in the bundle.
-  ProgramId parent;          ///< Empty for a program that is no sub-agent.
+  ProgramId parent;          ///< Empty unless the program is a sub-agent.
   ProgramLimits limits;
   UnixMillis created_ms = 0;
   UnixMillis last_activity_ms = 0;
@@ -93,9 +93,9 @@
   std::string end_reason;
   Tokens spent = 0;
   Tokens reserved = 0;
-  Tokens inherited = 0;  ///< Service its parent had attained when this sub-agent was created.
+  Tokens inherited = 0;  ///< Attained service of the parent when this sub-agent was created.
   std::uint64_t history_bytes = 0;
-  std::vector<BackendName> engines;  ///< Engines that may hold a context of this program.
+  std::vector<BackendName> engines;  ///< Engines that may cache a context of this program.
   std::vector<CallRecord> calls;     ///< In sequence order.
 
   const CallRecord* Find(const CallKey& key) const;
@@ -109,7 +109,7 @@
   }
 };
 
-/// A context to release on an engine, kept until the engine acknowledged it.
+/// A context to release on an engine, stored until the engine acknowledges it.
 struct ReleaseOrder {
   std::uint64_t id = 0;
   ProgramId program;
@@ -130,7 +130,7 @@
   ProgramId parent;
   ProgramLimits limits;
   Tokens inherited = 0;
-  std::uint64_t epoch = 0;  ///< The bundle epoch the gateway acted under.
+  std::uint64_t epoch = 0;  ///< The gateway's bundle epoch.
   template <class Archive>
   void serialize(Archive& archive) {
     archive(program, partner, program_kind, parent, limits, inherited, epoch);
@@ -139,7 +139,7 @@
 
 struct BeginCall {
   ProgramId program;
-  PartnerName partner;  ///< The caller's; another partner's program is unknown to it.
+  PartnerName partner;  ///< The caller's; programs of other partners are reported as unknown.
   std::vector<std::string> permitted_kinds;  ///< Program kinds that may call the service.
   CallKey key;
   std::uint64_t request_hash = 0;
@@ -162,7 +162,7 @@
   /// Of this attempt; `kNotRun` of a later one leaves the call unknown.
   CallState outcome = CallState::kRan;
   Tokens used = 0;
-  BackendName engine;  ///< The engine that now holds the program's context; may be empty.
+  BackendName engine;  ///< The engine that now caches the program's context; may be empty.
   std::string result;
   template <class Archive>
   void serialize(Archive& archive) {
@@ -170,7 +170,7 @@
   }
 };
 
-/// The gateway of this attempt is gone: the outcome is unknown and the reservation is charged.
+/// The gateway of this attempt is down: the outcome is unknown and the reservation is charged.
 struct LapseCall {
   Grant grant;
   template <class Archive>
@@ -179,7 +179,7 @@
   }
 };
 
-/// Makes sure a key that has not begun never will, so that "not run" can be said of it.
+/// Prevents a key that has not begun from ever beginning, so that "not run" can be reported.
 struct VoidCall {
   ProgramId program;
   CallKey key;
@@ -222,32 +222,31 @@
 
 // ---- Results ----
 
-/// Why a command changed nothing, or what it did.
+/// Outcome of a command.
 enum class Verdict : std::uint8_t {
   kDone,     ///< Took effect.
-  kAlready,  ///< Had taken effect before; `call` or the program tells what is stored.
-  kBusy,     ///< Another call of the program is under way.
+  kAlready,  ///< Had taken effect before; `call` or the program holds the stored state.
+  kBusy,     ///< Another call of the program is running.
   kUnknownProgram,
   kProgramEnded,
-  kNotAllowed,       ///< The bundle does not let this program kind call the service.
+  kNotAllowed,       ///< The bundle does not permit this program kind to call the service.
   kProgramConflict,  ///< The id exists with other attributes.
   kKeyReused,        ///< The key exists with another request.
   kBudgetExhausted,
   kTooManyCalls,
-  kTooLong,  ///< The program's wall time is over.
+  kTooLong,  ///< The program's wall time limit has passed.
   kHistoryFull,
-  kStaleEpoch,  ///< A newer bundle is in force.
-  kStaleGrant,  ///< The attempt is no longer the present one.
+  kStaleEpoch,  ///< A newer bundle is active.
+  kStaleGrant,  ///< The attempt is not the current one.
 };
 
-/// What a command did. The leader adds `history` when it answers a begun model call: the other
-/// replicas have no use for it.
+/// Result of a command. `history` is set only by the leader, in its reply to a begun model call.
 struct ApplyResult {
   Verdict verdict = Verdict::kDone;
   std::optional<CallRecord> call;
   PartnerName partner;
   std::string program_kind;
-  Tokens attained = 0;  ///< Service the program has had, what it inherited included.
+  Tokens attained = 0;  ///< Attained service of the program, including `inherited`.
   std::vector<BackendName> engines;
   std::vector<CallRecord> history;  ///< The program's earlier calls that ran, in order.
   template <class Archive>
--- a/tests/ledger/group_replica_test.cc
+++ b/tests/ledger/group_replica_test.cc
@@ -1,4 +1,4 @@
-// What a group's leader puts into the log must come to the same at replicas of every build.
+// The leader must log only commands that replicas of every version apply alike.
 #include "ledger/group_replica.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
     return restored;
   }
 
-  /// Stores nothing: all is applied as it comes, and commands are kept.
+  /// Applies all work without storing it and records the commands.
   void Settle() {
     while (replica_.HasWork()) {
       consensus::Ready ready = replica_.TakeReady();
@@ -43,12 +43,9 @@
   std::vector<Command> commands_;
 };
 
-/// Symptom: replicas of two builds would keep different outcomes of one call.
-/// Sequence: a call's later attempt is settled as not run while builds before and since "that says
-/// nothing of the first attempt" replicate the group.
-/// Cause: the rule changed how an entry is applied, and the entry says nothing of it.
-/// What settled it: the earlier build stores `kNotRun` for that entry, this one `kUnknown`.
-TEST_F(LeaderTest, LaterAttemptThatDidNotRunIsLoggedAsAllBuildsApplyAlike) {
+/// Guards against different outcomes on replicas of two versions: an earlier version applies
+/// `kNotRun` of a later attempt as it is, this one as `kUnknown`.
+TEST_F(LeaderTest, LaterAttemptThatDidNotRunIsLoggedAsUnknown) {
   for (std::uint32_t attempt : {1U, 2U}) {
     FinishCall finish;
     finish.grant = {ProgramId("p"), CallKey("k"), attempt};
--- a/tests/ledger/ledger_test.cc
+++ b/tests/ledger/ledger_test.cc
@@ -58,23 +58,24 @@
   Ledger ledger_;
 };
 
-TEST_F(LedgerTest, CreatingAgainChangesNothingAndAnotherProgramConflicts) {
+TEST_F(LedgerTest, RepeatedCreationChangesNothingAndDifferentProgramConflicts) {
   EXPECT_EQ(Apply(Creation()), Verdict::kAlready);
   CreateProgram other = Creation();
   other.program_kind = "review";
   EXPECT_EQ(Apply(other), Verdict::kProgramConflict);
 }
 
-struct RefusalCase {
+struct RejectionCase {
   const char* name;
   void (*change)(BeginCall&);
   UnixMillis when;
   Verdict expected;
 };
 
-class LedgerRefusalTest : public LedgerTest, public ::testing::WithParamInterface<RefusalCase> {};
+class LedgerRejectionTest : public LedgerTest,
+                            public ::testing::WithParamInterface<RejectionCase> {};
 
-TEST_P(LedgerRefusalTest, RefusesWithoutReserving) {
+TEST_P(LedgerRejectionTest, RejectsWithoutReserving) {
   BeginCall begin = Beginning("k");
   GetParam().change(begin);
   EXPECT_EQ(Apply(begin, GetParam().when), GetParam().expected);
@@ -83,19 +84,21 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Faults, LedgerRefusalTest,
-    ::testing::Values(
-        RefusalCase{"OverBudget", [](BeginCall& begin) { begin.reserve = 1001; }, 1000,
-                    Verdict::kBudgetExhausted},
-        RefusalCase{"OtherPartner", [](BeginCall& begin) { begin.partner = PartnerName("trust"); },
-                    1000, Verdict::kUnknownProgram},
-        RefusalCase{"NotAllowed", [](BeginCall& begin) { begin.permitted_kinds = {}; }, 1000,
-                    Verdict::kNotAllowed},
-        RefusalCase{"OldEpoch", [](BeginCall& begin) { begin.epoch = 0; }, 1000,
-                    Verdict::kStaleEpoch},
-        RefusalCase{"TooLong", [](BeginCall&) {}, 70000, Verdict::kTooLong},
-        RefusalCase{"HistoryFull", [](BeginCall& begin) { begin.turn = std::string(10001, 'x'); },
-                    1000, Verdict::kHistoryFull}),
+    Faults, LedgerRejectionTest,
+    ::testing::Values(RejectionCase{"OverBudget", [](BeginCall& begin) { begin.reserve = 1001; },
+                                    1000, Verdict::kBudgetExhausted},
+                      RejectionCase{"OtherPartner",
+                                    [](BeginCall& begin) { begin.partner = PartnerName("trust"); },
+                                    1000, Verdict::kUnknownProgram},
+                      RejectionCase{"NotAllowed",
+                                    [](BeginCall& begin) { begin.permitted_kinds = {}; }, 1000,
+                                    Verdict::kNotAllowed},
+                      RejectionCase{"OldEpoch", [](BeginCall& begin) { begin.epoch = 0; }, 1000,
+                                    Verdict::kStaleEpoch},
+                      RejectionCase{"TooLong", [](BeginCall&) {}, 70000, Verdict::kTooLong},
+                      RejectionCase{"HistoryFull",
+                                    [](BeginCall& begin) { begin.turn = std::string(10001, 'x'); },
+                                    1000, Verdict::kHistoryFull}),
     [](const auto& info) { return info.param.name; });
 
 TEST_F(LedgerTest, SecondCallIsBusyUntilTheFirstIsSettled) {
@@ -107,13 +110,13 @@
   EXPECT_EQ(Apply(Beginning("b")), Verdict::kDone);
 }
 
-TEST_F(LedgerTest, UnknownOutcomeIsChargedWhole) {
+TEST_F(LedgerTest, UnknownOutcomeIsChargedInFull) {
   Apply(Beginning("a", 300));
   Apply(Finishing("a", CallState::kUnknown, 1));
   EXPECT_EQ(program().spent, 300);
 }
 
-TEST_F(LedgerTest, NobodyIsChargedMoreThanWasReserved) {
+TEST_F(LedgerTest, ChargeIsCappedAtTheReservation) {
   Apply(Beginning("a", 50));
   Apply(Finishing("a", CallState::kRan, 5000));
   EXPECT_EQ(program().spent, 50);
@@ -141,7 +144,7 @@
   EXPECT_EQ(Apply(finish), Verdict::kDone);
 }
 
-TEST_F(LedgerTest, RepeatableCallDoesNotRunAgainBehindALaterTurn) {
+TEST_F(LedgerTest, RepeatableCallDoesNotRunAgainAfterALaterTurn) {
   BeginCall first = Beginning("a");
   first.repeatable = true;
   Apply(first);
@@ -152,18 +155,15 @@
   EXPECT_EQ(Apply(first), Verdict::kAlready);
 }
 
-TEST_F(LedgerTest, RepeatedFinishIsAnsweredLikeTheFirst) {
+TEST_F(LedgerTest, RepeatedFinishIsIdempotent) {
   Apply(Beginning("a"));
   Apply(Finishing("a", CallState::kRan, 10));
   EXPECT_EQ(Apply(Finishing("a", CallState::kRan, 10)), Verdict::kAlready);
   EXPECT_EQ(program().spent, 10);
 }
 
-/// Symptom: a caller was told `not_run` of a key whose first attempt may have run.
-/// Sequence: an attempt lapses, so its outcome is unknown; the caller asks again with the same key;
-/// no engine takes the second attempt, which is settled as not run.
-/// Cause: what is known of one attempt was stored as what is known of the key.
-/// What settled it: the stored record, attempt 2 and state `kNotRun`.
+/// Guards against reporting `not_run` for a key whose first attempt lapsed and may have run,
+/// because its second attempt did not run.
 TEST_F(LedgerTest, LaterAttemptThatDidNotRunLeavesTheKeyUnknown) {
   BeginCall begin = Beginning("k");
   begin.repeatable = true;
@@ -176,13 +176,13 @@
   ApplyResult result = ledger_.Apply(At(1000, finish));
   EXPECT_EQ(result.verdict, Verdict::kDone);
   EXPECT_EQ(result.call->state, CallState::kUnknown);
-  EXPECT_EQ(program().spent, 100) << "only the attempt that may have run is charged whole";
+  EXPECT_EQ(program().spent, 100) << "only the attempt that may have run is charged in full";
   EXPECT_EQ(program().reserved, 0);
   ApplyResult again = ledger_.Apply(At(1000, finish));
   EXPECT_EQ(again.verdict, Verdict::kAlready);
   EXPECT_EQ(again.call->state, CallState::kUnknown);
   begin.admission = AdmissionId(9);
-  ASSERT_EQ(Apply(begin), Verdict::kDone) << "the same key may run still";
+  ASSERT_EQ(Apply(begin), Verdict::kDone) << "the same key may still run";
   finish = Finishing("k", CallState::kRan, 0);
   finish.grant.attempt = 3;
   EXPECT_EQ(ledger_.Apply(At(1000, finish)).call->state, CallState::kRan);
@@ -205,7 +205,7 @@
   EXPECT_EQ(begun.call->state, CallState::kNotRun);
 }
 
-TEST_F(LedgerTest, RefusalForBudgetVoidsTheKey) {
+TEST_F(LedgerTest, RejectionForBudgetVoidsTheKey) {
   Apply(Beginning("a", 1000));
   Apply(Finishing("a", CallState::kRan, 900));
   ASSERT_EQ(Apply(Beginning("b", 200)), Verdict::kBudgetExhausted);
@@ -234,15 +234,15 @@
   EXPECT_TRUE(ledger_.Expired(20000, 10).empty());
 }
 
-TEST_F(LedgerTest, DamagedSnapshotIsRefusedAndTheStateKept) {
+TEST_F(LedgerTest, DamagedSnapshotIsRejectedWithoutChangingTheState) {
   Apply(Beginning("a"));
   std::string data = ledger_.Serialize();
   EXPECT_FALSE(ledger_.Restore(data.substr(0, data.size() / 2)));
   EXPECT_NE(program().Running(), nullptr);
 }
 
-// A model of one program's money and calls, against the ledger under random commands.
-RC_GTEST_PROP(LedgerPropertyTest, MoneyAndOrderHoldAndReplicasAgree, ()) {
+// Checks budget and ordering invariants under random commands.
+RC_GTEST_PROP(LedgerPropertyTest, BudgetAndOrderHoldAndReplicasAgree, ()) {
   Ledger ledger;
   ledger.Apply(At(1000, Creation()));
   std::map<std::string, int> ran;
@@ -275,7 +275,7 @@
         ledger.Apply(At(1000, VoidCall{kProgram, CallKey(key), 1}));
         break;
       default: {
-        // A replica restored from here must be equal from here on.
+        // A replica restored from a snapshot must be equal.
         Ledger copy;
         RC_ASSERT(copy.Restore(ledger.Serialize()));
         RC_ASSERT(*copy.Find(kProgram) == *ledger.Find(kProgram));
