--- a/src/ledger/group_replica.h
+++ b/src/ledger/group_replica.h
@@ -126,7 +126,7 @@
   std::map<consensus::LogIndex, Proposal> proposals_;
   std::map<ProgramId, std::deque<WaitingCall>> waiting_;
   std::map<ProgramId, absl::Time> leases_;     // Expiry of each running call's grant.
-  std::map<NodeId, absl::Time> down_members_;  // When each was last reported down.
+  std::map<NodeId, absl::Time> down_members_;  // Latest time at which each can have gone down.
   std::set<ProgramId> lapsing_;                // Lapse proposed but not applied.
   std::uint64_t last_query_id_ = 0;
   struct PendingQuery {
