--- a/src/consensus/raft.cc
+++ b/src/consensus/raft.cc
@@ -8,14 +8,14 @@
 namespace martenyard::consensus {
 namespace {
 
-/// Within this share of an election timeout replicas stand for election when the leader is dead.
-constexpr double kEagerElectionShare = 0.3;
-/// How many election timeouts a hand-over of leadership may take before proposals resume.
+/// Election timeout after the leader is reported down, as a fraction of the usual one.
+constexpr double kLeaderDownTimeoutFactor = 0.3;
+/// Limit of a leadership transfer in election timeouts; proposals resume after it.
 constexpr int kTransferTimeouts = 3;
-/// A follower that shows no progress for this many election timeouts gets its snapshot again.
+/// The snapshot is resent to a follower without progress for this many election timeouts.
 constexpr int kSnapshotRetryTimeouts = 4;
 
-std::size_t VotersThatDiffer(const Configuration& left, const Configuration& right) {
+std::size_t CountDifferingVoters(const Configuration& left, const Configuration& right) {
   std::size_t count = 0;
   for (NodeId voter : left.voters) {
     count += right.IsVoter(voter) ? 0 : 1;
@@ -42,7 +42,7 @@
   stored_index_ = last_index();
   RecomputeConfiguration();
   ResetElectionTimer();
-  election_deadline_ = now_ + (election_deadline_ - now_) * options_.start_wait_share;
+  election_deadline_ = now_ + (election_deadline_ - now_) * options_.first_election_timeout_factor;
 }
 
 // ---- Time ----
@@ -81,26 +81,27 @@
 
 void Raft::CheckQuorum() {
   quorum_check_at_ = now_ + options_.election_timeout;
-  std::size_t in_contact = 0;
+  std::size_t reachable = 0;
   for (NodeId voter : configuration_.voters) {
     bool recent =
         voter == self_ || progress_[voter].last_contact + options_.election_timeout >= now_;
-    in_contact += recent ? 1 : 0;
+    reachable += recent ? 1 : 0;
   }
-  if (in_contact < configuration_.QuorumSize()) {
+  if (reachable < configuration_.QuorumSize()) {
     BecomeFollower(hard_state_.term, kNoNode);
   }
 }
 
-void Raft::OnMemberDead(absl::Time now, NodeId member) {
+void Raft::OnMemberDown(absl::Time now, NodeId member) {
   now_ = std::max(now_, now);
   if (role_ == Role::kLeader || leader_ != member || leader_ == kNoNode) {
     return;
   }
   leader_ = kNoNode;
   last_leader_contact_ = absl::InfinitePast();
-  // Spread out, so that one replica is usually elected before the next one tries.
-  election_deadline_ = now_ + options_.election_timeout * kEagerElectionShare * random_.Uniform();
+  // Randomized to make a split vote unlikely.
+  election_deadline_ =
+      now_ + options_.election_timeout * kLeaderDownTimeoutFactor * random_.Uniform();
 }
 
 // ---- Elections ----
@@ -116,7 +117,7 @@
     }
     pending_reads_.clear();
     progress_.clear();
-    round_begun_.clear();
+    round_started_.clear();
     transfer_target_ = kNoNode;
   }
   role_ = Role::kFollower;
@@ -184,8 +185,8 @@
   if (!request.leadership_transfer && InLeaderLease()) {
     return;
   }
-  // Answered by learners too: one that was made a voter may not have heard of it yet, and the
-  // candidate, whose configuration counts, may need its vote. A learner never stands itself.
+  // Learners reply too: one that was promoted to voter may not have received that configuration
+  // yet, and the candidate may need its vote. A learner never becomes a candidate.
   bool up_to_date = LogIsUpToDate(request.last_index, request.last_term);
   VoteReply reply;
   reply.pre_vote = request.pre_vote;
@@ -213,11 +214,11 @@
     BecomeFollower(reply.term, kNoNode);
     return;
   }
-  bool answers_pre_vote = role_ == Role::kPreCandidate && reply.pre_vote &&
-                          (!reply.granted || reply.term == hard_state_.term + 1);
-  bool answers_vote =
+  bool is_pre_vote_reply = role_ == Role::kPreCandidate && reply.pre_vote &&
+                           (!reply.granted || reply.term == hard_state_.term + 1);
+  bool is_vote_reply =
       role_ == Role::kCandidate && !reply.pre_vote && reply.term == hard_state_.term;
-  if (answers_pre_vote || answers_vote) {
+  if (is_pre_vote_reply || is_vote_reply) {
     CountVote(from, reply.granted);
   }
 }
@@ -235,12 +236,12 @@
   progress_.clear();
   SyncProgress();
   for (auto& [member, progress] : progress_) {
-    progress.last_contact = now_;  // A full election timeout to be heard in.
+    progress.last_contact = now_;  // Grants every member a full election timeout.
   }
   quorum_check_at_ = now_ + options_.election_timeout;
   next_heartbeat_ = now_;
-  // The first entry tells the configuration: a founder whom the leader reached before its own
-  // founding has it from nowhere else, and would never stand for election.
+  // The first entry carries the configuration: an initial member that the leader contacted before
+  // its bootstrap has no other source for it and could never become a candidate.
   leader_first_index_ = AppendToLog(EntryKind::kConfiguration, wire::Encode(configuration_));
   LeaderTick();
 }
@@ -282,7 +283,7 @@
   last_leader_contact_ = now_;
   reply.term = hard_state_.term;
   if (request.previous_index < snapshot_.index) {
-    // All up to the snapshot is committed, hence equal: let the leader go on from there.
+    // Entries up to the snapshot are committed and therefore match: continue from there.
     reply.success = true;
     reply.match = snapshot_.index;
     Reply(from, reply);
@@ -295,10 +296,10 @@
     return;
   }
   AppendReceived(request.entries);
-  LogIndex known_equal = request.previous_index + request.entries.size();
-  commit_ = std::max(commit_, std::min(request.commit, known_equal));
+  LogIndex last_matching = request.previous_index + request.entries.size();
+  commit_ = std::max(commit_, std::min(request.commit, last_matching));
   reply.success = true;
-  reply.match = known_equal;
+  reply.match = last_matching;
   Reply(from, reply);
 }
 
@@ -316,7 +317,7 @@
   progress.acknowledged_round = std::max(progress.acknowledged_round, reply.round);
   AdvanceReads();
   if (!reply.success) {
-    OnAppendRefused(from, progress, reply);
+    OnAppendRejected(from, progress, reply);
     return;
   }
   if (reply.match > progress.match) {
@@ -336,11 +337,11 @@
   MaybeFinishTransfer(from);
 }
 
-void Raft::OnAppendRefused(NodeId from, Progress& progress, const AppendReply& reply) {
-  bool late =
+void Raft::OnAppendRejected(NodeId from, Progress& progress, const AppendReply& reply) {
+  bool stale =
       reply.previous <= progress.match || (progress.probing && reply.previous != progress.next - 1);
-  if (late) {
-    return;  // It answers an append from before the present probe.
+  if (stale) {
+    return;  // Reply to an append sent before the current probe.
   }
   progress.probing = true;
   progress.probe_sent = false;
@@ -374,7 +375,7 @@
   const Snapshot& snapshot = request.snapshot;
   reply.match = std::max(snapshot.index, commit_);
   if (snapshot.index > commit_) {
-    // Entries behind the snapshot could conflict with it; the leader sends what it has again.
+    // Entries after the snapshot may conflict with it; the leader resends its own.
     log_.clear();
     snapshot_ = snapshot;
     commit_ = applied_ = stored_index_ = snapshot.index;
@@ -386,7 +387,7 @@
   Reply(from, reply);
 }
 
-// ---- Leading ----
+// ---- Leader ----
 
 std::optional<LogIndex> Raft::Propose(EntryKind kind, std::string payload) {
   if (role_ != Role::kLeader || transfer_target_ != kNoNode) {
@@ -399,7 +400,7 @@
   if (!LeaderIsCurrent() || !ConfigurationIsCommitted() || next.voters.empty()) {
     return false;
   }
-  if (VotersThatDiffer(configuration_, next) > 1) {
+  if (CountDifferingVoters(configuration_, next) > 1) {
     return false;
   }
   return Propose(EntryKind::kConfiguration, wire::Encode(next)).has_value();
@@ -409,8 +410,8 @@
   if (role_ != Role::kLeader) {
     return false;
   }
-  // Before an entry of its own term is committed a leader does not know the commit index; the read
-  // then waits for its first entry.
+  // A leader does not know the commit index until an entry of its own term is committed; the read
+  // waits for that entry.
   LogIndex index = std::max(commit_, leader_first_index_);
   BeginRound();
   pending_reads_.push_back({read_id, round_, index});
@@ -420,8 +421,8 @@
 }
 
 void Raft::BeginRound() {
-  round_begun_[++round_] = now_;
-  round_begun_.erase(round_begun_.begin(), round_begun_.lower_bound(ConfirmedRound()));
+  round_started_[++round_] = now_;
+  round_started_.erase(round_started_.begin(), round_started_.lower_bound(ConfirmedRound()));
 }
 
 std::uint64_t Raft::ConfirmedRound() const {
@@ -440,8 +441,8 @@
   if (!LeaderIsCurrent() || transfer_target_ != kNoNode) {
     return false;
   }
-  auto begun = round_begun_.find(ConfirmedRound());
-  return begun != round_begun_.end() && now < begun->second + options_.election_timeout;
+  auto begun = round_started_.find(ConfirmedRound());
+  return begun != round_started_.end() && now < begun->second + options_.election_timeout;
 }
 
 void Raft::AdvanceReads() {
@@ -459,7 +460,7 @@
     return;
   }
   if (transfer_target_ == kNoNode) {
-    // Asking again must not put the limit off: nothing can be proposed before it.
+    // A repeated call must not extend the deadline: proposals are rejected until then.
     transfer_deadline_ = now_ + options_.election_timeout * kTransferTimeouts;
   }
   transfer_target_ = to;
@@ -512,12 +513,12 @@
 }
 
 void Raft::SendSnapshot(NodeId to, Progress& progress, bool heartbeat_due) {
-  absl::Duration patience = options_.election_timeout * kSnapshotRetryTimeouts;
-  if (progress.snapshot_sent && now_ < progress.last_progress + patience) {
+  absl::Duration retry_timeout = options_.election_timeout * kSnapshotRetryTimeouts;
+  if (progress.snapshot_sent && now_ < progress.last_progress + retry_timeout) {
     if (!heartbeat_due) {
-      return;  // Its replies to heartbeats must not bring about more of them.
+      return;  // A heartbeat reply must not trigger another heartbeat.
     }
-    // Only a heartbeat, which keeps the follower from standing for election.
+    // A heartbeat without entries keeps the follower from starting an election.
     AppendRequest heartbeat;
     heartbeat.term = hard_state_.term;
     heartbeat.round = round_;
@@ -548,7 +549,7 @@
   }
   std::sort(matches.rbegin(), matches.rend());
   LogIndex quorum_match = matches[configuration_.QuorumSize() - 1];
-  // Only an entry of the leader's own term commits those before it (Raft, section 5.4.2).
+  // Only an entry of the leader's own term commits earlier entries (Raft, section 5.4.2).
   if (quorum_match > commit_ && TermAt(quorum_match) == hard_state_.term) {
     commit_ = quorum_match;
     if (!configuration_.IsVoter(self_) && ConfigurationIsCommitted()) {
@@ -630,10 +631,10 @@
 void Raft::TruncateFrom(LogIndex index) {
   log_.resize(index - snapshot_.index - 1);
   stored_index_ = std::min(stored_index_, index - 1);
-  auto& storing = ready_.entries_to_store;
-  storing.erase(std::remove_if(storing.begin(), storing.end(),
-                               [&](const Entry& entry) { return entry.index >= index; }),
-                storing.end());
+  auto& unstored = ready_.entries_to_store;
+  unstored.erase(std::remove_if(unstored.begin(), unstored.end(),
+                                [&](const Entry& entry) { return entry.index >= index; }),
+                 unstored.end());
   if (configuration_index_ >= index) {
     RecomputeConfiguration();
   }
@@ -661,7 +662,7 @@
 }
 
 void Raft::SyncProgress() {
-  std::map<NodeId, Progress> kept;
+  std::map<NodeId, Progress> updated;
   for (NodeId member : configuration_.Members()) {
     if (member == self_) {
       continue;
@@ -670,9 +671,9 @@
     Progress fresh;
     fresh.next = last_index() + 1;
     fresh.last_contact = now_;
-    kept[member] = found == progress_.end() ? fresh : found->second;
+    updated[member] = found == progress_.end() ? fresh : found->second;
   }
-  progress_ = std::move(kept);
+  progress_ = std::move(updated);
 }
 
 void Raft::Compact(Snapshot snapshot) {
@@ -684,7 +685,7 @@
   snapshot_ = std::move(snapshot);
 }
 
-// ---- Effects ----
+// ---- Output ----
 
 void Raft::Reply(NodeId to, RaftMessage message) {
   ready_.messages_after_store.push_back({to, std::move(message)});
@@ -707,7 +708,7 @@
 }
 
 Ready Raft::TakeReady() {
-  // What the previous Ready carried is stored by now; it counts as this replica's own vote.
+  // The entries of the previous Ready are stored by now and count towards the quorum.
   LogIndex first_unstored =
       ready_.entries_to_store.empty() ? last_index() + 1 : ready_.entries_to_store.front().index;
   stored_index_ = first_unstored - 1;
--- a/src/consensus/snapshot_schedule.cc
+++ b/src/consensus/snapshot_schedule.cc
@@ -6,17 +6,17 @@
 namespace martenyard::consensus {
 
 SnapshotSchedule::SnapshotSchedule(std::uint64_t log_bytes, const Snapshot& restored)
-    : least_log_bytes_(log_bytes) {
-  NoteInstalled(restored);
+    : min_log_bytes_(log_bytes) {
+  RecordInstalled(restored);
 }
 
-void SnapshotSchedule::NoteApplied(const Entry& entry) {
+void SnapshotSchedule::RecordApplied(const Entry& entry) {
   applied_ = entry.index;
   applied_term_ = entry.term;
   log_bytes_ += entry.payload.size();
 }
 
-void SnapshotSchedule::NoteInstalled(const Snapshot& snapshot) {
+void SnapshotSchedule::RecordInstalled(const Snapshot& snapshot) {
   applied_ = snapshot.index;
   applied_term_ = snapshot.term;
   log_bytes_ = 0;
@@ -24,8 +24,7 @@
 }
 
 bool SnapshotSchedule::Due(const Raft& raft) const {
-  return log_bytes_ >= std::max(least_log_bytes_, snapshot_bytes_) &&
-         raft.ConfigurationIsCommitted();
+  return log_bytes_ >= std::max(min_log_bytes_, snapshot_bytes_) && raft.ConfigurationIsCommitted();
 }
 
 Snapshot SnapshotSchedule::Take(Raft& raft, std::string data) {
--- a/src/daemon/replica_host.cc
+++ b/src/daemon/replica_host.cc
@@ -82,7 +82,7 @@
 
 void ReplicaHost::OnMemberDead(absl::Time now, NodeId member, absl::Time died_before) {
   for (auto& [group, replica] : replicas_) {
-    replica->OnMemberDead(now, member, died_before);
+    replica->OnMemberDown(now, member, died_before);
   }
 }
 
@@ -158,7 +158,7 @@
       write.snapshot = std::move(*snapshot);
       pending_writes_.push_back(std::move(write));
     }
-    std::vector<ledger::ReplyTo> replies = replica->TakeReplies();
+    std::vector<ledger::OutgoingLedgerReply> replies = replica->TakeReplies();
     MoveAll(replies, effects.replies);
   }
   return {};
--- a/src/storage/memory_log_store.cc
+++ b/src/storage/memory_log_store.cc
@@ -26,12 +26,12 @@
     }
     for (const GroupWrite& write : writes) {
       StoredGroup& group = node_.groups[write.group];
-      KeepEntries(write, group);
+      RetainEntries(write, group);
       ApplyWrite(write, group);
       if (write.snapshot && write.snapshot_in_parts) {
         group.snapshot.data = std::exchange(parts_[write.group], "");
       }
-      ListKept(write.group, group);
+      UpdateRetained(write.group, group);
     }
     return {};
   }
@@ -46,8 +46,8 @@
 
   Result<void> StageEntry(GroupId group, const consensus::Entry& entry) override {
     if (durable_) {
-      kept_[group][entry.index] = entry;
-      ListKept(group, node_.groups[group]);
+      retained_entries_[group][entry.index] = entry;
+      UpdateRetained(group, node_.groups[group]);
     }
     return {};
   }
@@ -62,48 +62,48 @@
         return std::make_optional(entry);
       }
     }
-    auto kept = kept_[group].find(wanted.index);
-    bool found = kept != kept_[group].end() && matches(kept->second);
-    return found ? std::make_optional(kept->second) : std::nullopt;
+    auto retained = retained_entries_[group].find(wanted.index);
+    bool found = retained != retained_entries_[group].end() && matches(retained->second);
+    return found ? std::make_optional(retained->second) : std::nullopt;
   }
 
   bool IsDurable() const override { return durable_; }
 
  private:
-  /// Takes the entries that a snapshot leaves readable out of the log, before it is cut.
-  void KeepEntries(const GroupWrite& write, const StoredGroup& group) {
-    std::map<consensus::LogIndex, consensus::Entry>& kept = kept_[write.group];
+  /// Copies the entries that a snapshot retains out of the log, before it is truncated.
+  void RetainEntries(const GroupWrite& write, const StoredGroup& group) {
+    std::map<consensus::LogIndex, consensus::Entry>& retained = retained_entries_[write.group];
     if (write.removed) {
-      kept.clear();
+      retained.clear();
     }
     for (const consensus::Entry& entry : group.entries) {
       bool wanted = write.snapshot && entry.index <= write.snapshot->index &&
-                    std::binary_search(write.kept.begin(), write.kept.end(), entry.index);
+                    std::binary_search(write.retained.begin(), write.retained.end(), entry.index);
       if (wanted) {
-        kept.emplace(entry.index, entry);  // A staged one is the leader's, and stays.
+        retained.emplace(entry.index, entry);  // A staged entry takes precedence.
       }
     }
     if (write.snapshot) {
-      std::erase_if(kept, [&](const auto& entry) {
-        return !std::binary_search(write.kept.begin(), write.kept.end(), entry.first);
+      std::erase_if(retained, [&](const auto& entry) {
+        return !std::binary_search(write.retained.begin(), write.retained.end(), entry.first);
       });
     }
-    for (consensus::LogIndex index : write.forgotten) {
-      kept.erase(index);
+    for (consensus::LogIndex index : write.unreferenced) {
+      retained.erase(index);
     }
   }
 
-  void ListKept(GroupId id, StoredGroup& group) {
-    group.kept.clear();
-    for (const auto& [index, entry] : kept_[id]) {
-      group.kept.push_back(index);
+  void UpdateRetained(GroupId id, StoredGroup& group) {
+    group.retained.clear();
+    for (const auto& [index, entry] : retained_entries_[id]) {
+      group.retained.push_back(index);
     }
   }
 
   bool durable_;
   StoredNode node_;
-  std::map<GroupId, std::string> parts_;  // Of snapshots that no write has named yet.
-  std::map<GroupId, std::map<consensus::LogIndex, consensus::Entry>> kept_;
+  std::map<GroupId, std::string> parts_;  // Data of incomplete snapshots.
+  std::map<GroupId, std::map<consensus::LogIndex, consensus::Entry>> retained_entries_;
 };
 
 }  // namespace
