--- a/src/store/metadata_store.h
+++ b/src/store/metadata_store.h
@@ -1,5 +1,5 @@
-// A small replicated key-value service as the roles use it: linearizable reads, conditional writes
-// and watches. Implementations speak some service's own protocol.
+// Interface to a replicated key-value store: linearizable reads, conditional writes and watches.
+// Implementations use the protocol of a specific service.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace martenyard::store {
 
-/// Counts every change of the whole store.
+/// Store-wide counter, incremented with each change.
 using Revision = std::uint64_t;
 
 enum class StoreStatus {
   kDone,
   kNotFound,
-  kConflict,     ///< A condition did not hold: nothing was changed.
-  kHistoryGone,  ///< The changes asked for are forgotten: read everything anew.
-  kUnavailable,  ///< Nothing was done; try later.
-  kThrottled,    ///< Nothing was done: too many calls.
-  kUnknown,      ///< No answer: it may have been done, or may still be done later.
+  kConflict,     ///< A condition did not hold; nothing was changed.
+  kHistoryGone,  ///< The requested revision was compacted; read all keys again.
+  kUnavailable,  ///< Not executed; retry later.
+  kThrottled,    ///< Not executed; rate limit exceeded.
+  kUnknown,      ///< No reply; the call may have taken effect or still may.
 };
 
 struct StoreItem {
   std::string key;
   std::string value;
-  Revision revision = 0;  ///< Of its last change.
+  Revision revision = 0;  ///< Revision of the last change of this key.
 };
 
 struct ReadAnswer {
@@ -38,7 +38,7 @@
   Revision revision = 0;  ///< Changes after this one may be missing from `items`.
 };
 
-/// A key's new value, or its removal.
+/// A key's new value; absent if the key was removed.
 struct StoreChange {
   std::string key;
   std::optional<std::string> value;
@@ -48,17 +48,17 @@
 struct WatchAnswer {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreChange> changes;
-  Revision revision = 0;  ///< Watch on from here.
+  Revision revision = 0;  ///< Where the next watch starts.
 };
 
-/// Takes effect whole or not at all.
+/// Applied atomically.
 struct Transaction {
   struct Condition {
     std::string key;
     Revision revision = 0;  ///< 0: the key must not exist.
   };
   std::vector<Condition> conditions;
-  std::vector<StoreItem> puts;  ///< Their revisions are ignored.
+  std::vector<StoreItem> puts;  ///< Revisions are ignored.
   std::vector<std::string> removals;
 };
 
@@ -66,15 +66,15 @@
  public:
   virtual ~MetadataStore() = default;
   virtual async_http::Task<ReadAnswer> Get(std::string key) = 0;
-  /// Reads all keys that begin with `prefix`. Not a snapshot: watch on from its revision.
+  /// Reads all keys that begin with `prefix`. Not a snapshot; watch from the returned revision.
   virtual async_http::Task<ReadAnswer> Range(std::string prefix) = 0;
   /// Waits up to `patience` for changes after `after`.
   virtual async_http::Task<WatchAnswer> Watch(std::string prefix, Revision after,
                                               absl::Duration patience) = 0;
   virtual async_http::Task<StoreStatus> Commit(Transaction transaction) = 0;
-  /// Calls made since the start.
+  /// Number of calls made since the start.
   virtual std::uint64_t calls() const = 0;
-  /// What those who watch have learned of the way to this store.
+  /// Reachability of this store as seen by its calls, shared by all watchers.
   StoreContact& contact() { return contact_; }
 
  private:
--- a/src/store/prefix_mirror.cc
+++ b/src/store/prefix_mirror.cc
@@ -11,21 +11,20 @@
 
 using async_http::Task;
 
-/// Of the store's history, for one watch: the rest is for its way there and back.
+/// Share of the store's history that a watch may wait; the rest covers the round trip.
 constexpr double kWatchShareOfHistory = 0.85;
-/// The longest that a watch may wait at the store is 30 s.
+/// The store limits a watch to 30 s.
 constexpr absl::Duration kLongestWatch = absl::Seconds(28);
-/// Of a bound, until a lost watch is found out: the rest is for the next call and for telling
-/// others.
+/// Share of the bound for detecting a lost watch; the rest is for the next call and for propagating
+/// the changes.
 constexpr double kProofShareOfBound = 2.0 / 3;
 constexpr absl::Duration kShortestWatch = absl::Milliseconds(100);
-/// A watch that ends sooner than this proves by its own end whether it was heard.
+/// Watches up to this length aren't restarted after an outage: their end shows if they were lost.
 constexpr absl::Duration kProvesItself = absl::Seconds(2);
 constexpr absl::Duration kFirstBackoff = absl::Milliseconds(100);
 constexpr absl::Duration kLongestBackoff = absl::Milliseconds(800);
 constexpr absl::Duration kIdlePause = absl::Milliseconds(200);
-/// Removed keys are remembered for peers that are behind; one that is further behind gets all
-/// items.
+/// Removals retained for peers that are behind; a peer that is further behind gets all items.
 constexpr std::size_t kMostRemovals = 1000;
 
 }  // namespace
@@ -117,7 +116,7 @@
       backoff_ = kFirstBackoff;
       continue;
     }
-    // A call that got no answer has waited already.
+    // The time that the failed call took counts towards the backoff.
     absl::Duration pause = backoff_ - (SteadyNow() - began);
     if (pause > absl::ZeroDuration()) {
       co_await woken_.Wait(pause);
@@ -148,7 +147,7 @@
   for (const std::string& key : gone) {
     Take({key, std::nullopt, answer.revision}, answer.revision);
   }
-  // Pages are no snapshot: a change newer than the first page may stand before one that is missing.
+  // Pages aren't a snapshot: a change newer than the first page may precede one that is missing.
   last_change_ = std::min(last_change_, answer.revision);
   std::erase_if(removals_, [&](const auto& entry) { return entry.second <= answer.revision; });
   removals_since_ = std::max(removals_since_, answer.revision);
@@ -160,7 +159,7 @@
 Task<bool> PrefixMirror::WatchOnce() {
   auto call = std::make_shared<WatchCall>();
   call->began = SteadyNow();
-  // While nothing is proved, the answer itself is what is waited for: one that comes at once.
+  // While reachability is unknown, request an immediate reply.
   call->wait = reachable_ ? options_.watch_patience : absl::ZeroDuration();
   std::uint64_t returns = store_.contact().returns();
   absl::Time end = call->began + call->wait + answer_patience_.limit();
@@ -176,7 +175,7 @@
     }
     co_return call->done;
   }
-  // Its answer is still taken if it comes: a slow store is no lost one.
+  // A late reply is still processed, since the store may only be slow.
   call->given_up = true;
   if (IsInDoubt(*call, returns)) {
     co_return true;
@@ -206,11 +205,11 @@
     answer_patience_.NoteAnswer(now - call.began - call.wait);
   }
   if (call.given_up && answer.status != StoreStatus::kDone) {
-    return false;  // A later call tells how things stand.
+    return false;  // A later call reports the current state.
   }
   NoteEnd(call.began, answer.status);
   if (answer.status == StoreStatus::kHistoryGone) {
-    // Who need not watch any more lives by what peers tell; the next watch finds out again.
+    // A mirror that no longer watches is updated by its peers; the next watch detects this again.
     complete_ = !watching_;
     return true;
   }
@@ -247,14 +246,14 @@
     return;
   }
   if (known != items_.end() && known->second.revision >= change.revision) {
-    return;  // A page may be older than what a watch told.
+    return;  // A page may be older than the result of a watch.
   }
   if (known == items_.end() && as_of < removals_since_) {
-    return;  // Removed by then: the copy was whole as of a newer revision, and has no such key.
+    return;  // Removed: the mirror was complete at a newer revision without this key.
   }
   auto removed = removals_.find(change.key);
   if (removed != removals_.end() && removed->second >= change.revision) {
-    return;  // A peer that has not heard of the removal.
+    return;  // The sending peer doesn't know the removal yet.
   }
   NoteChange(change.revision);
   items_[change.key] = {change.key, *change.value, change.revision};
@@ -294,10 +293,10 @@
 
 void PrefixMirror::TakeDelta(const mirror_delta& delta) {
   if (delta.m_last_change <= last_change_) {
-    return;  // Known by now.
+    return;  // Already known.
   }
   if (!delta.m_full && last_change_ == 0) {
-    return;  // For the process that was at this address before: here there is nothing to add it to.
+    return;  // Meant for an earlier process at this address; there is no state to apply it to.
   }
   std::set<std::string> present;
   for (const relayed_item& item : delta.m_items) {
@@ -329,7 +328,8 @@
   if (!asked_ || reachable != reachable_) {
     asked_ = true;
     reachable_ = reachable;
-    on_contact_(reachable, status);  // It may tell how old the copy was until now.
+    on_contact_(reachable,
+                status);  // Before `confirmed_` changes: the handler may read Staleness().
   }
   if (reachable) {
     confirmed_ = SteadyNow();
--- a/src/store/prefix_mirror.h
+++ b/src/store/prefix_mirror.h
@@ -1,6 +1,6 @@
-// Keeps a copy of all keys under a prefix, by reading them once and watching on.
+// Mirrors all keys under a prefix: reads them once, then watches for changes.
 //
-// While the store can't be reached the last known copy stays: silence is no removal.
+// While the store is unreachable the last known state is retained.
 #pragma once
 
 #include <algorithm>
@@ -15,29 +15,29 @@
 
 namespace martenyard::store {
 
-/// @return how long a watch may wait at a store that remembers its changes for `history`: what it
-/// answers at its end must still go on from where it began.
+/// @return how long a watch may wait at a store that retains its changes for `history`, so that the
+/// revision it began at is not compacted before it ends.
 absl::Duration WatchPatience(absl::Duration history);
 
-/// @return how long a watch may wait where the copy must be the newest again `bound` after a
-/// trouble ended: its end is the proof that it was heard.
+/// @return how long a watch may wait if the mirror must be up to date `bound` after an outage. A
+/// lost watch is detected only when its wait ends.
 absl::Duration WatchPatienceWithin(absl::Duration bound);
 
-/// Tunables of a mirror.
+/// Tuning parameters of a mirror.
 struct MirrorOptions {
-  /// Changes that come in quick succession are fetched together.
+  /// Minimum interval between watches, so that changes are fetched in batches.
   absl::Duration watch_spacing = absl::Milliseconds(200);
-  /// How long a watch waits for a change. One that waits for longer than the store remembers its
-  /// changes ends with the need to read everything anew. One that is lost is found out at its end,
-  /// or when other calls show that the store was silent meanwhile.
+  /// How long a watch waits for a change. If it exceeds the store's history, all keys have to be
+  /// read again. A lost watch is detected when its wait ends, or when other calls show that the
+  /// store was unreachable in between.
   absl::Duration watch_patience = WatchPatienceWithin(absl::Seconds(3));
 };
 
 class PrefixMirror {
  public:
-  /// Told of each key that changed; the value is absent when the key was removed.
+  /// Called for each changed key; the value is absent if the key was removed.
   using ChangeHandler = std::function<void(const StoreChange& change)>;
-  /// Told when the store is lost (false) and regained (true).
+  /// Called when the store becomes unreachable (false) or reachable (true).
   using ContactHandler = std::function<void(bool reachable, StoreStatus status)>;
 
   PrefixMirror(async_http::asio::io_context& context, MetadataStore& store, std::string prefix,
@@ -48,57 +48,57 @@
   PrefixMirror(const PrefixMirror&) = delete;
   PrefixMirror& operator=(const PrefixMirror&) = delete;
 
-  /// Starts following; runs until the loop ends.
+  /// Starts mirroring; runs until the event loop ends.
   void Start();
   bool complete() const { return complete_; }
   const std::string& prefix() const { return prefix_; }
   const std::map<std::string, StoreItem>& items() const { return items_; }
-  /// @return for how long the store has not confirmed the copy; infinite if it never did.
+  /// @return time since the store last confirmed the mirror; infinite if it never did.
   absl::Duration Staleness() const;
-  /// @return for how long the call under way has waited; nothing while none is.
+  /// @return time that the pending call has waited; nullopt if there is none.
   std::optional<absl::Duration> Waiting() const;
-  /// @return how long the call waited that told last of the store; for contact handlers.
+  /// @return duration of the call that last updated the reachability; for contact handlers.
   absl::Duration last_wait() const { return last_wait_; }
-  /// True while the store answered last.
+  /// @return whether the last call got a reply.
   bool reachable() const { return reachable_; }
-  /// A mirror that doesn't watch lives by what its peers tell; a watch under way goes on.
-  /// What the store answered before it begins to watch proves nothing any more.
+  /// A mirror that doesn't watch is updated by its peers only; a pending watch continues.
+  /// Enabling it resets the reachability, since earlier replies say nothing of the present.
   void SetWatching(bool watching);
-  /// A paused mirror asks nothing of the store, even if it never read anything; a call under way
-  /// goes on.
+  /// A paused mirror sends no calls to the store, even before its first read; a pending call
+  /// continues.
   void SetPaused(bool paused);
-  /// Reads all keys again, beside a watch that may hang: something newer is known to be there.
+  /// Reads all keys again, in parallel to a watch that may be lost. For a known newer revision.
   void Refresh();
-  /// @return the revision of the last change known.
+  /// @return revision of the last known change.
   Revision last_change() const { return last_change_; }
-  /// @return what changed after `last_change`, for a peer's mirror of the same prefix.
+  /// @return the changes after `last_change`, for a peer's mirror of the same prefix.
   mirror_delta ChangesSince(Revision last_change) const;
-  /// Takes what a peer's mirror told.
+  /// Applies the changes sent by a peer's mirror.
   void TakeDelta(const mirror_delta& delta);
 
  private:
   async_http::Task<void> Follow();
   async_http::Task<bool> ReadAll();
   async_http::Task<bool> WatchOnce();
-  /// One watch at the store. It may go on after the mirror has asked anew.
+  /// A watch call. It may still be pending after the mirror has started the next one.
   struct WatchCall {
     absl::Time began;
     absl::Duration wait;
     bool given_up = false;
     bool ended = false;
-    bool done = false;  ///< The store answered what was asked.
+    bool done = false;  ///< The store replied with the requested changes.
     bool brought_changes = false;
   };
   async_http::Task<void> RunWatch(std::shared_ptr<WatchCall> call);
   bool TakeAnswer(const WatchCall& call, const WatchAnswer& answer);
   /// @return whether the store may have lost the watch while it waited.
   bool IsInDoubt(const WatchCall& call, std::uint64_t returns) const;
-  /// @param as_of what told of the change knows everything up to this revision.
+  /// @param as_of revision up to which the source of the change is complete.
   void Take(const StoreChange& change, Revision as_of);
   void PruneRemovals();
-  /// What a call's end tells of the way to the store.
+  /// Updates the store's reachability from the result of a call.
   void NoteEnd(absl::Time began, StoreStatus status);
-  /// @param began when the call was made that told.
+  /// @param began start of the call that showed it.
   void NoteContact(absl::Time began, bool reachable, StoreStatus status);
   void NoteChange(Revision revision) { last_change_ = std::max(last_change_, revision); }
 
@@ -108,23 +108,23 @@
   ChangeHandler on_change_;
   ContactHandler on_contact_;
   std::map<std::string, StoreItem> items_;
-  std::map<std::string, Revision> removals_;  // Of keys that were removed since the last reading.
-  /// The copy was whole as of this revision; earlier removals are not known.
+  std::map<std::string, Revision> removals_;  // Keys removed since the last full read.
+  /// The mirror was complete as of this revision; earlier removals are unknown.
   Revision removals_since_ = 0;
   Revision last_change_ = 0;
   Revision revision_ = 0;
   MirrorOptions options_;
   AnswerPatience answer_patience_;
   async_http::Signal resumed_;
-  async_http::Signal woken_;  ///< A watch ended, or the store answered others again.
+  async_http::Signal woken_;  ///< A watch ended, or the store is reachable again.
   bool watching_ = true;
   bool paused_ = false;
   bool complete_ = false;
   bool refreshing_ = false;
-  bool asked_ = false;  ///< Once, with an answer or none.
+  bool asked_ = false;  ///< At least one call has ended, with or without a reply.
   bool reachable_ = false;
   absl::Time confirmed_ = absl::InfinitePast();
-  std::optional<absl::Time> call_began_;  ///< Of the one that is waited for.
+  std::optional<absl::Time> call_began_;  ///< Start of the pending call.
   absl::Duration last_wait_ = absl::ZeroDuration();
   absl::Duration backoff_;
 };
--- a/src/store/relay/mirror_delta.h
+++ b/src/store/relay/mirror_delta.h
@@ -1,4 +1,4 @@
-// What one copy of the store's keys has that another may lack.
+// Changes that one mirror of the store's keys sends to another.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 namespace martenyard::store
 {
 
-/// @brief a key as it was last written
+/// @brief a key with the value of its last write
 struct relayed_item
 {
     std::string m_key;
@@ -35,12 +35,12 @@
     }
 };
 
-/// @brief all changes of a prefix after the asker's last one
+/// @brief all changes of a prefix after the requester's last one
 struct mirror_delta
 {
     /// revision of the last change that the sender knows
     std::uint64_t m_last_change = 0;
-    /// the items are all there are: what the sender removed long ago it no longer knows
+    /// the items are complete; removals that the sender no longer remembers are not listed
     bool m_full = false;
     std::vector<relayed_item> m_items;
     std::vector<relayed_removal> m_removals;
@@ -52,13 +52,13 @@
     }
 };
 
-/// @brief asks a peer for what it knows beyond the asker's last change
+/// @brief requests the changes after the requester's last one from a peer
 struct news_request
 {
-    /// which of the mirrors, by the order that all gateways have them in
+    /// index of the mirror; all gateways use the same order
     std::uint8_t m_mirror = 0;
     std::uint64_t m_last_change = 0;
-    /// where the answer goes
+    /// address that the reply is sent to
     std::string m_address;
     std::uint16_t m_port = 0;
 
@@ -69,7 +69,7 @@
     }
 };
 
-/// @brief a peer's answer
+/// @brief reply to a news_request
 struct news_reply
 {
     std::uint8_t m_mirror = 0;
--- a/src/store/store_contact.cc
+++ b/src/store/store_contact.cc
@@ -6,10 +6,10 @@
 namespace martenyard::store {
 namespace {
 
-/// Of an answer's lateness: the next one may be as much later.
+/// Ratio of the limit to the latency of the last reply.
 constexpr double kLatenessMargin = 3;
-/// For each answer the limit comes back by this much, so that one quick answer of a slow store
-/// doesn't make the next call fail.
+/// The limit falls to no less than this share at each reply, so that one fast reply of a slow
+/// store doesn't make the next call time out.
 constexpr double kEasing = 0.5;
 constexpr double kGrowth = 2;
 
--- a/src/store/store_contact.h
+++ b/src/store/store_contact.h
@@ -1,9 +1,9 @@
-// What a process's calls tell of its way to the store. Decision code: no I/O, no clock.
+// Derives the store's reachability from the results of a process's calls. Decision logic: no I/O,
+// no clock.
 //
-// A watch is silent by right while nothing changes, and looks the same when nobody hears it any
-// more. Another call that got no answer shows that the way was lost meanwhile; the next answer
-// shows that it is there again. Watches that waited through this may be lost and are to be asked
-// anew.
+// A pending watch without changes can't be told from one that the store has lost. An unanswered
+// call shows that the store was unreachable, and the next reply that it is reachable again. Watches
+// that were pending in between may be lost and have to be restarted.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
 
 class StoreContact {
  public:
-  /// A call that began at `began` got no answer. One from before the last return tells nothing new.
+  /// A call that began at `began` got no reply. Ignored if it began before the last recovery.
   void NoteSilence(absl::Time began);
-  /// A call was answered now, whatever it was told.
+  /// A call got a reply at `now`, whatever its status.
   void NoteAnswer(absl::Time now);
-  /// @return how often the store answered again after silence.
+  /// @return number of times that the store replied again after an unanswered call.
   std::uint64_t returns() const { return returns_; }
 
-  /// `on_return` runs at each return until `Unfollow`. One a follower.
+  /// Calls `on_return` at each recovery until `Unfollow`; one callback per follower.
   void Follow(const void* follower, std::function<void()> on_return);
   void Unfollow(const void* follower) { followers_.erase(follower); }
 
@@ -34,20 +34,20 @@
   std::map<const void*, std::function<void()>> followers_;
 };
 
-/// For how long an answer that is due may be on its way before its call counts as unanswered: as
-/// short as the store's own pace allows, since nothing is known until then.
+/// Adaptive timeout for a reply that is due, after which its call counts as unanswered. Kept as
+/// short as the store's latency allows, to detect an outage early.
 class AnswerPatience {
  public:
   absl::Duration limit() const { return limit_; }
-  /// An answer came `late` after it was due.
+  /// A reply arrived `late` after it was due.
   void NoteAnswer(absl::Duration late);
-  /// None came within the limit: the store may only be slow.
+  /// No reply arrived within the limit; raises it, since the store may only be slow.
   void NoteSilence();
 
-  /// A store whose answers take sixty to ninety times the usual 4 ms answers within it, and a
-  /// machine with an eighth of a core gets round to reading.
+  /// Covers a store that is 60 to 90 times slower than the usual 4 ms, and a process limited to an
+  /// eighth of a core.
   static constexpr absl::Duration kLeast = absl::Milliseconds(500);
-  /// As long as any other call to the store may take.
+  /// Equals the timeout of the other calls to the store.
   static constexpr absl::Duration kMost = absl::Milliseconds(1500);
 
  private:
--- a/tests/store/prefix_mirror_test.cc
+++ b/tests/store/prefix_mirror_test.cc
@@ -1,5 +1,5 @@
-// The mirror over the real store client and the stand-in of the platform's store, with its faults;
-// and over a store whose answers a test gives one by one, in any order.
+// Tests the mirror with the real store client against the emulated store and its faults, and with a
+// scripted store whose replies arrive in any order.
 #include "store/prefix_mirror.h"
 
 #include <gtest/gtest.h>
@@ -91,7 +91,7 @@
   EXPECT_EQ(delta.m_removals.size(), 1U);
   other.TakeDelta(delta);
   EXPECT_EQ(other.items().size(), 1U);
-  old.m_last_change = other.last_change() + 1;  // A peer that is behind in part.
+  old.m_last_change = other.last_change() + 1;  // From a peer that is partly behind.
   old.m_full = false;
   other.TakeDelta(old);
   EXPECT_FALSE(other.items().contains("p/b")) << "what was removed does not come back";
@@ -137,7 +137,7 @@
 
 TEST_F(PrefixMirrorTest, LostWatchIsFoundOutWithinTheBound) {
   EXPECT_EQ(WatchPatienceWithin(absl::Seconds(3)), absl::Milliseconds(1500));
-  // One quick answer after an outage, which comes before the store is waited for, halves the limit.
+  // One fast reply after an outage halves the limit before the next watch.
   EXPECT_LT(WatchPatienceWithin(absl::Seconds(3)) + AnswerPatience::kMost / 2, absl::Seconds(2.5));
   EXPECT_GT(WatchPatienceWithin(absl::Milliseconds(10)), absl::ZeroDuration());
 }
@@ -162,7 +162,7 @@
   stand_in_.Put("p/a", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }));
-  stand_in_.faults().delay = absl::Milliseconds(900);  // More than an answer may take at first.
+  stand_in_.faults().delay = absl::Milliseconds(900);  // Exceeds the initial reply timeout.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Put("p/a", "2");
   ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "2") && reachable_; }));
@@ -180,7 +180,7 @@
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }))
       << "a reading and a watch that waits";
   RunUntilFor([] { return false; }, absl::Milliseconds(600));
-  other->Refresh();  // Another call of this mirror, beside the watch.
+  other->Refresh();  // A second call, in parallel to the watch.
   RunUntilFor([] { return false; }, absl::Milliseconds(100));
   EXPECT_GE(other->Waiting().value_or(absl::ZeroDuration()), absl::Milliseconds(600));
   stand_in_.ResetWaiting();
@@ -192,7 +192,7 @@
   stand_in_.Put("p/a", "1");
   stand_in_.faults().hasty = true;
   stand_in_.faults().delay =
-      absl::Milliseconds(2);  // So that the loop of a test that fails ends its rounds.
+      absl::Milliseconds(2);  // Lets the loop end its rounds if the test fails.
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }));
   std::uint64_t calls = client_->calls();
@@ -218,7 +218,7 @@
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() == 2; })) << "a range and a watch that waits";
   stand_in_.faults().down = true;
-  stand_in_.Put("p/a", "2");  // Ends the watch, with a failure; the next one asks again.
+  stand_in_.Put("p/a", "2");  // The watch ends with a failure and is retried.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Compact();
   stand_in_.faults().down = false;
@@ -259,7 +259,7 @@
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return mirror_->items().size() == 2; }));
   stand_in_.faults().down = true;
-  stand_in_.Put("p/a", "1");  // Ends the watch that waits.
+  stand_in_.Put("p/a", "1");  // Ends the pending watch.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Put("p/a", "2");
   stand_in_.Remove("p/b");
@@ -293,7 +293,7 @@
   }
 }
 
-/// A store that answers when the test says so.
+/// A store that replies when the test tells it to.
 class ScriptedStore : public MetadataStore {
  public:
   template <typename Answer>
@@ -373,7 +373,7 @@
     }
     return condition();
   }
-  /// Starts a mirror that knows p/a of revision 2 and watches on from revision 3.
+  /// Starts a mirror that has p/a at revision 2 and watches from revision 3.
   Mirror StartedMirror() {
     Mirror mirror = MakeMirror();
     mirror->Start();
@@ -385,15 +385,12 @@
 
   wire::EventLoop loop_;
   ScriptedStore store_{loop_.context()};
-  std::vector<Mirror> kept_;  ///< Their coroutines run until the loop is destroyed.
+  std::vector<Mirror>
+      kept_;  ///< Must outlive their coroutines, which run until the loop is destroyed.
 };
 
-// Symptom: a key that was removed came back at a gateway, and stayed until everything was read
-// anew. Sequence: a key is written and removed; the answer of a watch or of a reading from between
-// the two arrives after a newer reading, or a peer's whole copy, that has the key no more. Cause:
-// of the newer copy only the keys stayed, not what it says of all others; the late answer's key was
-// new, and the next watch went on from the newer revision, after the removal. What settled it: the
-// same answers in the order of their revisions.
+// Guards against a removed key reappearing when a reply from before the removal arrives after a
+// newer full read or a peer's full delta.
 TEST_F(ScriptedMirrorTest, LateAnswerBringsNoKeyBackThatANewerCopyNoLongerHas) {
   struct LateCase {
     const char* name;
@@ -442,12 +439,8 @@
   }
 }
 
-// Symptom: a gateway that lives by what its peers tell kept a key that was removed, for good.
-// Sequence: the peer it asks has replaced its own copy as a whole, by a reading that is older than
-// a removal it had heard of, or by another peer's whole copy; then something else changes. Cause:
-// the peer forgot the removals it knew, or never learned of them, and yet told "what changed since"
-// as if it knew them all. What settled it: the peer's answer was told to be no whole copy, and
-// named no removal.
+// Guards against a peer keeping a removed key: a mirror whose state was replaced by a full read or
+// a full delta must not send a partial delta that lacks removals.
 TEST_F(ScriptedMirrorTest, PeerToldByACopyThatWasReplacedAsAWholeLosesWhatWasRemoved) {
   struct ReplacedCase {
     const char* name;
@@ -485,13 +478,8 @@
   }
 }
 
-// Symptom: a gateway that had just started took a few keys for the whole configuration, and asked
-// for no more.
-// Sequence: a gateway tells what it knows, ends and starts again at its address; a peer then sends
-// what changed since.
-// Cause: changes since a revision that the former process knew were taken by one that knew nothing,
-// and made its copy count as whole.
-// What settled it: the same changes told to the process that had asked for them.
+// Guards against a restarted process taking a partial delta, meant for its predecessor at the same
+// address, for the complete state.
 TEST_F(ScriptedMirrorTest, ChangesForAnEarlierProcessAreNoWholeCopy) {
   const mirror_delta since_20{21, false, {{"p/new", "1", 21}}, {{"p/old", 21}}};
   struct StartCase {
--- a/tests/store/store_contact_test.cc
+++ b/tests/store/store_contact_test.cc
@@ -26,7 +26,7 @@
   StoreContact contact;
   contact.NoteSilence(At(10));
   contact.NoteAnswer(At(20));
-  contact.NoteSilence(At(15));  // Its patience has ended only now.
+  contact.NoteSilence(At(15));  // Started before the reply at 20 ms, timed out after it.
   contact.NoteAnswer(At(30));
   EXPECT_EQ(contact.returns(), 1U);
   contact.NoteSilence(At(40));
--- a/tests/store/store_silence_test.cc
+++ b/tests/store/store_silence_test.cc
@@ -1,14 +1,5 @@
-// Gateways went by an old configuration, and sent requests to runners that were leaving, for
-// seconds after an outage of the store. A watch that was sent to the silent store waited for an
-// answer that could not come any more: 17 s at the store and 1.5 s for the way, however soon the
-// store was back. Silence of a watch meant "nothing has changed" and "nobody hears you" alike.
-//
-// What settled it: the store was back at 14.3 s with five new versions within 0.13 s; the gateways'
-// last calls had been watches sent between 11 and 12 s, the next call came at 21 s, and until then
-// every request was handled by the version from before the outage. On another day the line
-// `store_lost` of the runners' copies came at 33.07 s at all watching gateways, 18.5 s after their
-// last change; each sent the next watch to the store that was silent until 34.3 s, and a runner
-// that left at 37.3 s was unknown to all when the record ended at 43.8 s.
+// Guards against stale mirrors after a store outage: a watch lost during the outage must not delay
+// the next read until its own timeout.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,13 +17,13 @@
 namespace martenyard::store {
 namespace {
 
-/// What a deployment allows between the end of a trouble and a copy that is the newest.
+/// Maximum time from the end of an outage until a mirror is up to date.
 constexpr absl::Duration kContactBound = absl::Seconds(3);
 /// Long enough for several calls to fail.
 constexpr absl::Duration kOutage = absl::Milliseconds(1200);
 constexpr absl::Duration kPatience = absl::Seconds(20);
 
-/// Something that goes wrong at a store.
+/// A fault injected into a store.
 struct FaultCase {
   const char* name;
   std::function<void(emulator::StoreStandIn&)> begin;
@@ -78,7 +69,7 @@
      Set(&emulator::StoreFaults::down, false)},
 };
 
-/// A store with one fault, and a mirror that follows it.
+/// A store with one fault, and its mirror.
 struct FollowedStore {
   FollowedStore(wire::EventLoop& loop, const FaultCase& given)
       : fault(given),
@@ -108,7 +99,7 @@
   bool reachable = false;
 };
 
-/// All faults at once, each at a store of its own.
+/// Runs all faults at once, each at its own store.
 class StoreSilenceTest : public ::testing::Test {
  protected:
   StoreSilenceTest() {
@@ -119,7 +110,7 @@
 
   using Condition = std::function<bool(const FollowedStore&)>;
 
-  /// @return the faults' names whose store did not meet the condition in time.
+  /// @return names of the faults whose store did not meet the condition in time.
   std::string Missed(absl::Duration patience, const Condition& condition) {
     std::vector<bool> met(followed_.size(), false);
     absl::Time end = SteadyNow() + patience;
@@ -136,7 +127,7 @@
     return missed;
   }
 
-  /// Lets every fault last for a while in which the key changes.
+  /// Applies each fault for `kOutage` and changes the key meanwhile.
   void Outages() {
     auto waits = [](const FollowedStore& each) {
       return each.Holds("before") && each.client->calls() >= 2;
@@ -144,7 +135,7 @@
     ASSERT_EQ(Missed(kPatience, waits), "") << "a reading, and a watch that waits";
     for (auto& each : followed_) {
       each->fault.begin(each->store);
-      each->store.Put("p/a", "meanwhile");  // Ends the watch that waits, if the fault does not.
+      each->store.Put("p/a", "meanwhile");  // Ends the pending watch, unless the fault has.
     }
     for (absl::Time end = SteadyNow() + kOutage; SteadyNow() < end;) {
       loop_.RunRound(absl::Milliseconds(10));
