--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -376,7 +376,7 @@
                         .Number("from", static_cast<std::int64_t>(mirror.last_change()))
                         .Number("to", static_cast<std::int64_t>(reply.m_delta.m_last_change)));
     }
-    mirror.TakeDelta(reply.m_delta);
+    mirror.ApplyDelta(reply.m_delta);
     if (m_aggregator)
     {
         push_changes(SteadyInstant());  // Propagate without waiting for the next tick.
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -518,7 +518,7 @@
                                  {"ledger_directory", ledger_directory_},
                                  {"aggregators", aggregators_}};
   for (const NamedMirror& named : mirrors) {
-    absl::Duration waiting = named.mirror.Waiting().value_or(absl::ZeroDuration());
+    absl::Duration waiting = named.mirror.PendingCallTime().value_or(absl::ZeroDuration());
     state_->metrics.Set(absl::StrCat("copy_age_seconds_", named.name),
                         absl::ToDoubleSeconds(named.mirror.Staleness()));
     state_->metrics.Set(absl::StrCat("copy_call_waits_seconds_", named.name),
--- a/src/roles/ledger/persisted_mirrors.cc
+++ b/src/roles/ledger/persisted_mirrors.cc
@@ -93,7 +93,7 @@
                         .Number("bytes", static_cast<std::int64_t>(bytes->size())));
         return;
     }
-    m_mirrors[mirror]->TakeDelta(file->m_items);
+    m_mirrors[mirror]->ApplyDelta(file->m_items);
     m_states[mirror].m_persisted_change = m_mirrors[mirror]->last_change();
     m_log.Write(Line("kept_copy_read")
                     .Text("copy", mirror_names[mirror])
@@ -183,7 +183,7 @@
         return;
     }
     m_states[reply.m_mirror].m_requested_at.reset();
-    m_mirrors[reply.m_mirror]->TakeDelta(reply.m_delta);
+    m_mirrors[reply.m_mirror]->ApplyDelta(reply.m_delta);
 }
 
 }  // namespace martenyard::roles
--- a/src/roles/store_watch_options.cc
+++ b/src/roles/store_watch_options.cc
@@ -19,21 +19,21 @@
   absl::Duration detection_bound =
       std::min(settings.recovery_bound, propagation_bound * kDetectionFactor);
   store::MirrorOptions options;
-  options.watch_patience = std::min(store::WatchPatienceWithin(detection_bound),
-                                    store::WatchPatience(settings.store_history));
+  options.watch_timeout = std::min(store::MaxWatchTimeoutWithin(detection_bound),
+                                   store::MaxWatchTimeout(settings.store_history));
   return options;
 }
 
 store::MirrorOptions LongWatchOptions(const RoleSettings& settings) {
   store::MirrorOptions options;
-  options.watch_patience = store::WatchPatience(settings.store_history);
+  options.watch_timeout = store::MaxWatchTimeout(settings.store_history);
   return options;
 }
 
 store::MirrorOptions RetirementWatchOptions(const RoleSettings& settings) {
   store::MirrorOptions options;
-  options.watch_patience =
-      std::min(kRetirementWatchTimeout, store::WatchPatience(settings.store_history));
+  options.watch_timeout =
+      std::min(kRetirementWatchTimeout, store::MaxWatchTimeout(settings.store_history));
   return options;
 }
 
--- a/src/roles/store_watch_options.h
+++ b/src/roles/store_watch_options.h
@@ -4,7 +4,7 @@
 // staleness of the mirror. Mirrors that request handling depends on time out within the
 // deployment's bounds, at the cost of one store call per timeout from the few gateways that watch.
 // The others wait as long as the store's history allows. They are restarted when the former detect
-// that the store did not answer for a while: see store/store_contact.h.
+// that the store did not answer for a while: see store/store_reachability.h.
 #pragma once
 
 #include "roles/role_settings.h"
--- a/src/store/metadata_store.h
+++ b/src/store/metadata_store.h
@@ -9,7 +9,7 @@
 
 #include "absl/time/time.h"
 #include "async_http/task.h"
-#include "store/store_contact.h"
+#include "store/store_reachability.h"
 
 namespace martenyard::store {
 
@@ -20,7 +20,7 @@
   kDone,
   kNotFound,
   kConflict,     ///< A condition did not hold; nothing was changed.
-  kHistoryGone,  ///< The requested revision was compacted; read all keys again.
+  kCompacted,    ///< The requested revision was compacted; read all keys again.
   kUnavailable,  ///< Not executed; retry later.
   kThrottled,    ///< Not executed; rate limit exceeded.
   kUnknown,      ///< No reply; the call may have taken effect or still may.
@@ -32,7 +32,7 @@
   Revision revision = 0;  ///< Revision of the last change of this key.
 };
 
-struct ReadAnswer {
+struct ReadResult {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreItem> items;
   Revision revision = 0;  ///< Changes after this one may be missing from `items`.
@@ -45,7 +45,7 @@
   Revision revision = 0;
 };
 
-struct WatchAnswer {
+struct WatchResult {
   StoreStatus status = StoreStatus::kUnknown;
   std::vector<StoreChange> changes;
   Revision revision = 0;  ///< Where the next watch starts.
@@ -65,20 +65,20 @@
 class MetadataStore {
  public:
   virtual ~MetadataStore() = default;
-  virtual async_http::Task<ReadAnswer> Get(std::string key) = 0;
+  virtual async_http::Task<ReadResult> Get(std::string key) = 0;
   /// Reads all keys that begin with `prefix`. Not a snapshot; watch from the returned revision.
-  virtual async_http::Task<ReadAnswer> Range(std::string prefix) = 0;
-  /// Waits up to `patience` for changes after `after`.
-  virtual async_http::Task<WatchAnswer> Watch(std::string prefix, Revision after,
-                                              absl::Duration patience) = 0;
+  virtual async_http::Task<ReadResult> Range(std::string prefix) = 0;
+  /// Waits up to `timeout` for changes after `after`.
+  virtual async_http::Task<WatchResult> Watch(std::string prefix, Revision after,
+                                              absl::Duration timeout) = 0;
   virtual async_http::Task<StoreStatus> Commit(Transaction transaction) = 0;
   /// Number of calls made since the start.
   virtual std::uint64_t calls() const = 0;
   /// Reachability of this store as seen by its calls, shared by all watchers.
-  StoreContact& contact() { return contact_; }
+  StoreReachability& reachability() { return reachability_; }
 
  private:
-  StoreContact contact_;
+  StoreReachability reachability_;
 };
 
 }  // namespace martenyard::store
--- a/src/store/prefix_mirror.cc
+++ b/src/store/prefix_mirror.cc
@@ -14,59 +14,59 @@
 /// Share of the store's history that a watch may wait; the rest covers the round trip.
 constexpr double kWatchShareOfHistory = 0.85;
 /// The store limits a watch to 30 s.
-constexpr absl::Duration kLongestWatch = absl::Seconds(28);
+constexpr absl::Duration kMaxWatch = absl::Seconds(28);
 /// Share of the bound for detecting a lost watch; the rest is for the next call and for propagating
 /// the changes.
-constexpr double kProofShareOfBound = 2.0 / 3;
-constexpr absl::Duration kShortestWatch = absl::Milliseconds(100);
+constexpr double kDetectionShareOfBound = 2.0 / 3;
+constexpr absl::Duration kMinWatch = absl::Milliseconds(100);
 /// Watches up to this length aren't restarted after an outage: their end shows if they were lost.
-constexpr absl::Duration kProvesItself = absl::Seconds(2);
-constexpr absl::Duration kFirstBackoff = absl::Milliseconds(100);
-constexpr absl::Duration kLongestBackoff = absl::Milliseconds(800);
-constexpr absl::Duration kIdlePause = absl::Milliseconds(200);
+constexpr absl::Duration kMaxUnrestartedWatch = absl::Seconds(2);
+constexpr absl::Duration kInitialBackoff = absl::Milliseconds(100);
+constexpr absl::Duration kMaxBackoff = absl::Milliseconds(800);
+constexpr absl::Duration kIdlePollInterval = absl::Milliseconds(200);
 /// Removals retained for peers that are behind; a peer that is further behind gets all items.
-constexpr std::size_t kMostRemovals = 1000;
+constexpr std::size_t kMaxRemovals = 1000;
 
 }  // namespace
 
-absl::Duration WatchPatience(absl::Duration history) {
-  return std::min(history * kWatchShareOfHistory, kLongestWatch);
+absl::Duration MaxWatchTimeout(absl::Duration history) {
+  return std::min(history * kWatchShareOfHistory, kMaxWatch);
 }
 
-absl::Duration WatchPatienceWithin(absl::Duration bound) {
-  return std::max(bound * kProofShareOfBound - AnswerPatience::kLeast, kShortestWatch);
+absl::Duration MaxWatchTimeoutWithin(absl::Duration bound) {
+  return std::max(bound * kDetectionShareOfBound - ReplyTimeout::kMin, kMinWatch);
 }
 
 PrefixMirror::PrefixMirror(async_http::asio::io_context& context, MetadataStore& store,
-                           std::string prefix, ChangeHandler on_change, ContactHandler on_contact,
-                           const MirrorOptions& options)
+                           std::string prefix, ChangeHandler on_change,
+                           ReachabilityHandler on_reachability, const MirrorOptions& options)
     : context_(context),
       store_(store),
       prefix_(std::move(prefix)),
       on_change_(std::move(on_change)),
-      on_contact_(std::move(on_contact)),
+      on_reachability_(std::move(on_reachability)),
       options_(options),
       resumed_(context),
       woken_(context),
-      backoff_(kFirstBackoff) {
-  store_.contact().Follow(this, [this] { woken_.Notify(); });
+      backoff_(kInitialBackoff) {
+  store_.reachability().AddListener(this, [this] { woken_.Notify(); });
 }
 
-PrefixMirror::~PrefixMirror() { store_.contact().Unfollow(this); }
+PrefixMirror::~PrefixMirror() { store_.reachability().RemoveListener(this); }
 
 void PrefixMirror::Start() {
-  async_http::asio::co_spawn(context_, Follow(), async_http::asio::detached);
+  async_http::asio::co_spawn(context_, Run(), async_http::asio::detached);
 }
 
-absl::Duration PrefixMirror::Staleness() const { return SteadyNow() - confirmed_; }
+absl::Duration PrefixMirror::Staleness() const { return SteadyNow() - last_confirmed_; }
 
-std::optional<absl::Duration> PrefixMirror::Waiting() const {
+std::optional<absl::Duration> PrefixMirror::PendingCallTime() const {
   return call_began_ ? std::make_optional(SteadyNow() - *call_began_) : std::nullopt;
 }
 
 void PrefixMirror::SetWatching(bool watching) {
   if (watching && !watching_) {
-    asked_ = false;
+    reachability_known_ = false;
     reachable_ = false;
   }
   watching_ = watching;
@@ -93,14 +93,14 @@
       async_http::asio::detached);
 }
 
-Task<void> PrefixMirror::Follow() {
+Task<void> PrefixMirror::Run() {
   while (true) {
     if (paused_) {
-      co_await resumed_.Wait(kIdlePause);
+      co_await resumed_.Wait(kIdlePollInterval);
       continue;
     }
     if (complete_ && !watching_) {
-      co_await async_http::Sleep(context_, kIdlePause);
+      co_await async_http::Sleep(context_, kIdlePollInterval);
       continue;
     }
     absl::Time began = SteadyNow();
@@ -113,7 +113,7 @@
     }
     call_began_.reset();
     if (done) {
-      backoff_ = kFirstBackoff;
+      backoff_ = kInitialBackoff;
       continue;
     }
     // The time that the failed call took counts towards the backoff.
@@ -121,37 +121,37 @@
     if (pause > absl::ZeroDuration()) {
       co_await woken_.Wait(pause);
     }
-    backoff_ = std::min(backoff_ * 2, kLongestBackoff);
+    backoff_ = std::min(backoff_ * 2, kMaxBackoff);
   }
 }
 
 Task<bool> PrefixMirror::ReadAll() {
   absl::Time began = SteadyNow();
-  ReadAnswer answer = co_await store_.Range(prefix_);
-  NoteEnd(began, answer.status);
-  NoteContact(began, answer.status == StoreStatus::kDone, answer.status);
-  if (answer.status != StoreStatus::kDone) {
+  ReadResult result = co_await store_.Range(prefix_);
+  RecordCallResult(began, result.status);
+  UpdateReachability(began, result.status == StoreStatus::kDone, result.status);
+  if (result.status != StoreStatus::kDone) {
     co_return false;
   }
   std::set<std::string> present;
-  for (StoreItem& item : answer.items) {
+  for (StoreItem& item : result.items) {
     present.insert(item.key);
-    Take({item.key, std::move(item.value), item.revision}, answer.revision);
+    ApplyChange({item.key, std::move(item.value), item.revision}, result.revision);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> missing_keys;
   for (const auto& [key, item] : items_) {
     if (!present.contains(key)) {
-      gone.push_back(key);
+      missing_keys.push_back(key);
     }
   }
-  for (const std::string& key : gone) {
-    Take({key, std::nullopt, answer.revision}, answer.revision);
+  for (const std::string& key : missing_keys) {
+    ApplyChange({key, std::nullopt, result.revision}, result.revision);
   }
   // Pages aren't a snapshot: a change newer than the first page may precede one that is missing.
-  last_change_ = std::min(last_change_, answer.revision);
-  std::erase_if(removals_, [&](const auto& entry) { return entry.second <= answer.revision; });
-  removals_since_ = std::max(removals_since_, answer.revision);
-  revision_ = answer.revision;
+  last_change_ = std::min(last_change_, result.revision);
+  std::erase_if(removals_, [&](const auto& entry) { return entry.second <= result.revision; });
+  removals_since_ = std::max(removals_since_, result.revision);
+  revision_ = result.revision;
   complete_ = true;
   co_return true;
 }
@@ -160,11 +160,11 @@
   auto call = std::make_shared<WatchCall>();
   call->began = SteadyNow();
   // While reachability is unknown, request an immediate reply.
-  call->wait = reachable_ ? options_.watch_patience : absl::ZeroDuration();
-  std::uint64_t returns = store_.contact().returns();
-  absl::Time end = call->began + call->wait + answer_patience_.limit();
+  call->wait = reachable_ ? options_.watch_timeout : absl::ZeroDuration();
+  std::uint64_t recoveries = store_.reachability().recoveries();
+  absl::Time end = call->began + call->wait + reply_timeout_.limit();
   async_http::asio::co_spawn(context_, RunWatch(call), async_http::asio::detached);
-  while (!call->ended && !IsInDoubt(*call, returns) && SteadyNow() < end) {
+  while (!call->ended && !MayBeLost(*call, recoveries) && SteadyNow() < end) {
     co_await woken_.Wait(end - SteadyNow());
   }
   call_began_.reset();
@@ -176,69 +176,69 @@
     co_return call->done;
   }
   // A late reply is still processed, since the store may only be slow.
-  call->given_up = true;
-  if (IsInDoubt(*call, returns)) {
+  call->abandoned = true;
+  if (MayBeLost(*call, recoveries)) {
     co_return true;
   }
-  answer_patience_.NoteSilence();
-  store_.contact().NoteSilence(call->began);
-  NoteContact(call->began, false, StoreStatus::kUnknown);
+  reply_timeout_.RecordTimeout();
+  store_.reachability().RecordTimeout(call->began);
+  UpdateReachability(call->began, false, StoreStatus::kUnknown);
   co_return false;
 }
 
-bool PrefixMirror::IsInDoubt(const WatchCall& call, std::uint64_t returns) const {
-  return call.wait > kProvesItself && store_.contact().returns() != returns;
+bool PrefixMirror::MayBeLost(const WatchCall& call, std::uint64_t recoveries) const {
+  return call.wait > kMaxUnrestartedWatch && store_.reachability().recoveries() != recoveries;
 }
 
 Task<void> PrefixMirror::RunWatch(std::shared_ptr<WatchCall> call) {
-  WatchAnswer answer = co_await store_.Watch(prefix_, revision_, call->wait);
+  WatchResult result = co_await store_.Watch(prefix_, revision_, call->wait);
   call->ended = true;
-  call->brought_changes = !answer.changes.empty();
-  call->done = TakeAnswer(*call, answer);
+  call->brought_changes = !result.changes.empty();
+  call->done = ApplyWatchResult(*call, result);
   woken_.Notify();
 }
 
-bool PrefixMirror::TakeAnswer(const WatchCall& call, const WatchAnswer& answer) {
+bool PrefixMirror::ApplyWatchResult(const WatchCall& call, const WatchResult& result) {
   absl::Time now = SteadyNow();
-  bool waited_in_vain = answer.changes.empty() && answer.status == StoreStatus::kDone;
-  if (waited_in_vain) {
-    answer_patience_.NoteAnswer(now - call.began - call.wait);
+  bool without_changes = result.changes.empty() && result.status == StoreStatus::kDone;
+  if (without_changes) {
+    reply_timeout_.RecordReply(now - call.began - call.wait);
   }
-  if (call.given_up && answer.status != StoreStatus::kDone) {
+  if (call.abandoned && result.status != StoreStatus::kDone) {
     return false;  // A later call reports the current state.
   }
-  NoteEnd(call.began, answer.status);
-  if (answer.status == StoreStatus::kHistoryGone) {
+  RecordCallResult(call.began, result.status);
+  if (result.status == StoreStatus::kCompacted) {
     // A mirror that no longer watches is updated by its peers; the next watch detects this again.
     complete_ = !watching_;
     return true;
   }
-  NoteContact(call.began, answer.status == StoreStatus::kDone, answer.status);
-  if (answer.status != StoreStatus::kDone) {
+  UpdateReachability(call.began, result.status == StoreStatus::kDone, result.status);
+  if (result.status != StoreStatus::kDone) {
     return false;
   }
-  for (const StoreChange& change : answer.changes) {
-    Take(change, answer.revision);
+  for (const StoreChange& change : result.changes) {
+    ApplyChange(change, result.revision);
   }
-  revision_ = std::max(revision_, answer.revision);
+  revision_ = std::max(revision_, result.revision);
   return true;
 }
 
-void PrefixMirror::NoteEnd(absl::Time began, StoreStatus status) {
+void PrefixMirror::RecordCallResult(absl::Time began, StoreStatus status) {
   if (status == StoreStatus::kUnknown) {
-    store_.contact().NoteSilence(began);
+    store_.reachability().RecordTimeout(began);
   } else {
-    store_.contact().NoteAnswer(SteadyNow());
+    store_.reachability().RecordReply(SteadyNow());
   }
 }
 
-void PrefixMirror::Take(const StoreChange& change, Revision as_of) {
+void PrefixMirror::ApplyChange(const StoreChange& change, Revision as_of) {
   auto known = items_.find(change.key);
   if (!change.value) {
     Revision& removed = removals_[change.key];
     removed = std::max(removed, change.revision);
     PruneRemovals();
-    NoteChange(change.revision);
+    AdvanceLastChange(change.revision);
     if (known != items_.end() && known->second.revision <= change.revision) {
       items_.erase(known);
       on_change_(change);
@@ -255,13 +255,13 @@
   if (removed != removals_.end() && removed->second >= change.revision) {
     return;  // The sending peer doesn't know the removal yet.
   }
-  NoteChange(change.revision);
+  AdvanceLastChange(change.revision);
   items_[change.key] = {change.key, *change.value, change.revision};
   on_change_(change);
 }
 
 void PrefixMirror::PruneRemovals() {
-  if (removals_.size() <= kMostRemovals) {
+  if (removals_.size() <= kMaxRemovals) {
     return;
   }
   std::vector<Revision> revisions;
@@ -291,7 +291,7 @@
   return delta;
 }
 
-void PrefixMirror::TakeDelta(const mirror_delta& delta) {
+void PrefixMirror::ApplyDelta(const mirror_delta& delta) {
   if (delta.m_last_change <= last_change_) {
     return;  // Already known.
   }
@@ -301,38 +301,38 @@
   std::set<std::string> present;
   for (const relayed_item& item : delta.m_items) {
     present.insert(item.m_key);
-    Take({item.m_key, item.m_value, item.m_revision}, delta.m_last_change);
+    ApplyChange({item.m_key, item.m_value, item.m_revision}, delta.m_last_change);
   }
   for (const relayed_removal& removal : delta.m_removals) {
-    Take({removal.m_key, std::nullopt, removal.m_revision}, delta.m_last_change);
+    ApplyChange({removal.m_key, std::nullopt, removal.m_revision}, delta.m_last_change);
   }
-  std::vector<std::string> gone;
+  std::vector<std::string> missing_keys;
   for (const auto& [key, item] : items_) {
     if (delta.m_full && !present.contains(key) && item.revision <= delta.m_last_change) {
-      gone.push_back(key);
+      missing_keys.push_back(key);
     }
   }
-  for (const std::string& key : gone) {
-    Take({key, std::nullopt, delta.m_last_change}, delta.m_last_change);
+  for (const std::string& key : missing_keys) {
+    ApplyChange({key, std::nullopt, delta.m_last_change}, delta.m_last_change);
   }
   if (!complete_ || delta.m_full) {
     removals_since_ = std::max(removals_since_, delta.m_last_change);
   }
   complete_ = true;
-  NoteChange(delta.m_last_change);
+  AdvanceLastChange(delta.m_last_change);
   revision_ = std::max(revision_, delta.m_last_change);
 }
 
-void PrefixMirror::NoteContact(absl::Time began, bool reachable, StoreStatus status) {
+void PrefixMirror::UpdateReachability(absl::Time began, bool reachable, StoreStatus status) {
   last_wait_ = SteadyNow() - began;
-  if (!asked_ || reachable != reachable_) {
-    asked_ = true;
+  if (!reachability_known_ || reachable != reachable_) {
+    reachability_known_ = true;
     reachable_ = reachable;
-    on_contact_(reachable,
-                status);  // Before `confirmed_` changes: the handler may read Staleness().
+    // Called before `last_confirmed_` changes: the handler may read Staleness().
+    on_reachability_(reachable, status);
   }
   if (reachable) {
-    confirmed_ = SteadyNow();
+    last_confirmed_ = SteadyNow();
   }
 }
 
--- a/src/store/prefix_mirror.h
+++ b/src/store/prefix_mirror.h
@@ -17,20 +17,20 @@
 
 /// @return how long a watch may wait at a store that retains its changes for `history`, so that the
 /// revision it began at is not compacted before it ends.
-absl::Duration WatchPatience(absl::Duration history);
+absl::Duration MaxWatchTimeout(absl::Duration history);
 
 /// @return how long a watch may wait if the mirror must be up to date `bound` after an outage. A
 /// lost watch is detected only when its wait ends.
-absl::Duration WatchPatienceWithin(absl::Duration bound);
+absl::Duration MaxWatchTimeoutWithin(absl::Duration bound);
 
 /// Tuning parameters of a mirror.
 struct MirrorOptions {
-  /// Minimum interval between watches, so that changes are fetched in batches.
+  /// Delay before the next watch, so that changes in quick succession are fetched together.
   absl::Duration watch_spacing = absl::Milliseconds(200);
   /// How long a watch waits for a change. If it exceeds the store's history, all keys have to be
   /// read again. A lost watch is detected when its wait ends, or when other calls show that the
   /// store was unreachable in between.
-  absl::Duration watch_patience = WatchPatienceWithin(absl::Seconds(3));
+  absl::Duration watch_timeout = MaxWatchTimeoutWithin(absl::Seconds(3));
 };
 
 class PrefixMirror {
@@ -38,10 +38,10 @@
   /// Called for each changed key; the value is absent if the key was removed.
   using ChangeHandler = std::function<void(const StoreChange& change)>;
   /// Called when the store becomes unreachable (false) or reachable (true).
-  using ContactHandler = std::function<void(bool reachable, StoreStatus status)>;
+  using ReachabilityHandler = std::function<void(bool reachable, StoreStatus status)>;
 
   PrefixMirror(async_http::asio::io_context& context, MetadataStore& store, std::string prefix,
-               ChangeHandler on_change, ContactHandler on_contact,
+               ChangeHandler on_change, ReachabilityHandler on_reachability,
                const MirrorOptions& options = {});
 
   ~PrefixMirror();
@@ -56,10 +56,10 @@
   /// @return time since the store last confirmed the mirror; infinite if it never did.
   absl::Duration Staleness() const;
   /// @return time that the pending call has waited; nullopt if there is none.
-  std::optional<absl::Duration> Waiting() const;
-  /// @return duration of the call that last updated the reachability; for contact handlers.
+  std::optional<absl::Duration> PendingCallTime() const;
+  /// @return duration of the call that last updated the reachability; for reachability handlers.
   absl::Duration last_wait() const { return last_wait_; }
-  /// @return whether the last call got a reply.
+  /// @return whether the last call succeeded.
   bool reachable() const { return reachable_; }
   /// A mirror that doesn't watch is updated by its peers only; a pending watch continues.
   /// Enabling it resets the reachability, since earlier replies say nothing of the present.
@@ -74,39 +74,39 @@
   /// @return the changes after `last_change`, for a peer's mirror of the same prefix.
   mirror_delta ChangesSince(Revision last_change) const;
   /// Applies the changes sent by a peer's mirror.
-  void TakeDelta(const mirror_delta& delta);
+  void ApplyDelta(const mirror_delta& delta);
 
  private:
-  async_http::Task<void> Follow();
+  async_http::Task<void> Run();
   async_http::Task<bool> ReadAll();
   async_http::Task<bool> WatchOnce();
   /// A watch call. It may still be pending after the mirror has started the next one.
   struct WatchCall {
     absl::Time began;
     absl::Duration wait;
-    bool given_up = false;
+    bool abandoned = false;
     bool ended = false;
     bool done = false;  ///< The store replied with the requested changes.
     bool brought_changes = false;
   };
   async_http::Task<void> RunWatch(std::shared_ptr<WatchCall> call);
-  bool TakeAnswer(const WatchCall& call, const WatchAnswer& answer);
+  bool ApplyWatchResult(const WatchCall& call, const WatchResult& result);
   /// @return whether the store may have lost the watch while it waited.
-  bool IsInDoubt(const WatchCall& call, std::uint64_t returns) const;
+  bool MayBeLost(const WatchCall& call, std::uint64_t recoveries) const;
   /// @param as_of revision up to which the source of the change is complete.
-  void Take(const StoreChange& change, Revision as_of);
+  void ApplyChange(const StoreChange& change, Revision as_of);
   void PruneRemovals();
   /// Updates the store's reachability from the result of a call.
-  void NoteEnd(absl::Time began, StoreStatus status);
+  void RecordCallResult(absl::Time began, StoreStatus status);
   /// @param began start of the call that showed it.
-  void NoteContact(absl::Time began, bool reachable, StoreStatus status);
-  void NoteChange(Revision revision) { last_change_ = std::max(last_change_, revision); }
+  void UpdateReachability(absl::Time began, bool reachable, StoreStatus status);
+  void AdvanceLastChange(Revision revision) { last_change_ = std::max(last_change_, revision); }
 
   async_http::asio::io_context& context_;
   MetadataStore& store_;
   std::string prefix_;
   ChangeHandler on_change_;
-  ContactHandler on_contact_;
+  ReachabilityHandler on_reachability_;
   std::map<std::string, StoreItem> items_;
   std::map<std::string, Revision> removals_;  // Keys removed since the last full read.
   /// The mirror was complete as of this revision; earlier removals are unknown.
@@ -114,16 +114,16 @@
   Revision last_change_ = 0;
   Revision revision_ = 0;
   MirrorOptions options_;
-  AnswerPatience answer_patience_;
+  ReplyTimeout reply_timeout_;
   async_http::Signal resumed_;
   async_http::Signal woken_;  ///< A watch ended, or the store is reachable again.
   bool watching_ = true;
   bool paused_ = false;
   bool complete_ = false;
   bool refreshing_ = false;
-  bool asked_ = false;  ///< At least one call has ended, with or without a reply.
+  bool reachability_known_ = false;  ///< At least one call has ended, with or without a reply.
   bool reachable_ = false;
-  absl::Time confirmed_ = absl::InfinitePast();
+  absl::Time last_confirmed_ = absl::InfinitePast();
   std::optional<absl::Time> call_began_;  ///< Start of the pending call.
   absl::Duration last_wait_ = absl::ZeroDuration();
   absl::Duration backoff_;
--- a/src/store/store_contact.h
+++ b/src/store/store_reachability.h
@@ -14,44 +14,44 @@
 
 namespace martenyard::store {
 
-class StoreContact {
+class StoreReachability {
  public:
   /// A call that began at `began` got no reply. Ignored if it began before the last recovery.
-  void NoteSilence(absl::Time began);
+  void RecordTimeout(absl::Time began);
   /// A call got a reply at `now`, whatever its status.
-  void NoteAnswer(absl::Time now);
+  void RecordReply(absl::Time now);
   /// @return number of times that the store replied again after an unanswered call.
-  std::uint64_t returns() const { return returns_; }
+  std::uint64_t recoveries() const { return recoveries_; }
 
-  /// Calls `on_return` at each recovery until `Unfollow`; one callback per follower.
-  void Follow(const void* follower, std::function<void()> on_return);
-  void Unfollow(const void* follower) { followers_.erase(follower); }
+  /// Calls `on_recovery` at each recovery until `RemoveListener`; one callback per listener.
+  void AddListener(const void* listener, std::function<void()> on_recovery);
+  void RemoveListener(const void* listener) { listeners_.erase(listener); }
 
  private:
-  bool silent_ = false;
-  std::uint64_t returns_ = 0;
-  absl::Time returned_at_ = absl::InfinitePast();
-  std::map<const void*, std::function<void()>> followers_;
+  bool unreachable_ = false;
+  std::uint64_t recoveries_ = 0;
+  absl::Time recovered_at_ = absl::InfinitePast();
+  std::map<const void*, std::function<void()>> listeners_;
 };
 
 /// Adaptive timeout for a reply that is due, after which its call counts as unanswered. Kept as
 /// short as the store's latency allows, to detect an outage early.
-class AnswerPatience {
+class ReplyTimeout {
  public:
   absl::Duration limit() const { return limit_; }
   /// A reply arrived `late` after it was due.
-  void NoteAnswer(absl::Duration late);
+  void RecordReply(absl::Duration late);
   /// No reply arrived within the limit; raises it, since the store may only be slow.
-  void NoteSilence();
+  void RecordTimeout();
 
   /// Covers a store that is 60 to 90 times slower than the usual 4 ms, and a process limited to an
   /// eighth of a core.
-  static constexpr absl::Duration kLeast = absl::Milliseconds(500);
+  static constexpr absl::Duration kMin = absl::Milliseconds(500);
   /// Equals the timeout of the other calls to the store.
-  static constexpr absl::Duration kMost = absl::Milliseconds(1500);
+  static constexpr absl::Duration kMax = absl::Milliseconds(1500);
 
  private:
-  absl::Duration limit_ = kLeast;
+  absl::Duration limit_ = kMin;
 };
 
 }  // namespace martenyard::store
--- a/tests/platform/system/store_outage_soak_test.cc
+++ b/tests/platform/system/store_outage_soak_test.cc
@@ -2,7 +2,7 @@
 // overlap, with kills, stops and freezes of gateways, changes of the configuration and runners that
 // leave. Clients keep their connections until a process is gone. What gateways do is judged against
 // what the store had acknowledged; the days that showed why are told in
-// store/store_silence_test.cc.
+// store/store_outage_test.cc.
 //
 // By hand, longer or larger, with these variables of the environment:
 //   MARTENYARD_SOAK_SEED, _SECONDS, _GATEWAYS, _OUTAGES (that overlap, at most), and _KEEP (a
--- a/tests/store/prefix_mirror_test.cc
+++ b/tests/store/prefix_mirror_test.cc
@@ -69,14 +69,14 @@
       RunUntil([&] { return Holds("p/7", "changed") && !mirror_->items().contains("p/8"); }));
 }
 
-TEST_F(PrefixMirrorTest, MirrorThatDoesNotWatchLearnsEveryChangeFromAPeer) {
+TEST_F(PrefixMirrorTest, UnwatchedMirrorAppliesDeltasOfAPeer) {
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {}, [](bool, StoreStatus) {});
   stand_in_.Put("p/a", "1");
   stand_in_.Put("p/b", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return mirror_->items().size() == 2; }));
-  other.TakeDelta(mirror_->ChangesSince(other.last_change()));
+  other.ApplyDelta(mirror_->ChangesSince(other.last_change()));
   EXPECT_TRUE(other.complete());
   EXPECT_EQ(other.items().size(), 2U);
   EXPECT_EQ(other.last_change(), mirror_->last_change());
@@ -89,16 +89,16 @@
   EXPECT_FALSE(delta.m_full);
   EXPECT_EQ(delta.m_items.size(), 1U);
   EXPECT_EQ(delta.m_removals.size(), 1U);
-  other.TakeDelta(delta);
+  other.ApplyDelta(delta);
   EXPECT_EQ(other.items().size(), 1U);
   old.m_last_change = other.last_change() + 1;  // From a peer that is partly behind.
   old.m_full = false;
-  other.TakeDelta(old);
+  other.ApplyDelta(old);
   EXPECT_FALSE(other.items().contains("p/b")) << "what was removed does not come back";
   EXPECT_EQ(other.items().at("p/a").value, "2");
 }
 
-TEST_F(PrefixMirrorTest, PausedMirrorAsksNothingAndGoesOnWhenItIsResumed) {
+TEST_F(PrefixMirrorTest, PausedMirrorSendsNoCallsUntilResumed) {
   mirror_->SetPaused(true);
   mirror_->Start();
   EXPECT_FALSE(RunUntilFor([&] { return client_->calls() > 0; }, absl::Milliseconds(400)));
@@ -107,7 +107,7 @@
   EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "1"); }));
 }
 
-TEST_F(PrefixMirrorTest, FirstFailureIsToldToo) {
+TEST_F(PrefixMirrorTest, ReportsFailureOfTheFirstCall) {
   int told = 0;
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {},
@@ -118,7 +118,7 @@
   EXPECT_EQ(told, 1) << "once, not at every try";
 }
 
-TEST_F(PrefixMirrorTest, MirrorThatNeedNotWatchNeverBegins) {
+TEST_F(PrefixMirrorTest, UnwatchedMirrorStartsNoWatch) {
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {}, [](bool, StoreStatus) {});
   other.SetWatching(false);
@@ -129,22 +129,22 @@
   EXPECT_TRUE(RunUntil([&] { return client_->calls() > 1; }));
 }
 
-TEST_F(PrefixMirrorTest, WatchEndsBeforeTheStoreForgetsWhereItBegan) {
-  EXPECT_EQ(WatchPatience(absl::Seconds(20)), absl::Seconds(17));
-  EXPECT_EQ(WatchPatience(absl::Seconds(100)), absl::Seconds(28));
-  EXPECT_LE(MirrorOptions{}.watch_patience, absl::Seconds(20));
+TEST_F(PrefixMirrorTest, WatchEndsBeforeItsRevisionIsCompacted) {
+  EXPECT_EQ(MaxWatchTimeout(absl::Seconds(20)), absl::Seconds(17));
+  EXPECT_EQ(MaxWatchTimeout(absl::Seconds(100)), absl::Seconds(28));
+  EXPECT_LE(MirrorOptions{}.watch_timeout, absl::Seconds(20));
 }
 
-TEST_F(PrefixMirrorTest, LostWatchIsFoundOutWithinTheBound) {
-  EXPECT_EQ(WatchPatienceWithin(absl::Seconds(3)), absl::Milliseconds(1500));
+TEST_F(PrefixMirrorTest, LostWatchIsDetectedWithinTheBound) {
+  EXPECT_EQ(MaxWatchTimeoutWithin(absl::Seconds(3)), absl::Milliseconds(1500));
   // One fast reply after an outage halves the limit before the next watch.
-  EXPECT_LT(WatchPatienceWithin(absl::Seconds(3)) + AnswerPatience::kMost / 2, absl::Seconds(2.5));
-  EXPECT_GT(WatchPatienceWithin(absl::Milliseconds(10)), absl::ZeroDuration());
+  EXPECT_LT(MaxWatchTimeoutWithin(absl::Seconds(3)) + ReplyTimeout::kMax / 2, absl::Seconds(2.5));
+  EXPECT_GT(MaxWatchTimeoutWithin(absl::Milliseconds(10)), absl::ZeroDuration());
 }
 
-TEST_F(PrefixMirrorTest, LongWatchIsAskedAnewOnceAShortOneFoundThatTheStoreWasSilent) {
+TEST_F(PrefixMirrorTest, LongWatchIsRestartedAfterAnOutageSeenByAShortOne) {
   MirrorOptions patient;
-  patient.watch_patience = absl::Seconds(17);
+  patient.watch_timeout = absl::Seconds(17);
   PrefixMirror other(
       loop_.context(), *client_, "q/", [](const StoreChange&) {}, [](bool, StoreStatus) {},
       patient);
@@ -158,7 +158,7 @@
   EXPECT_TRUE(RunUntilFor([&] { return other.items().at("q/a").value == "2"; }, absl::Seconds(3)));
 }
 
-TEST_F(PrefixMirrorTest, SlowStoreIsNoLostOneForLong) {
+TEST_F(PrefixMirrorTest, SlowStoreBecomesReachableAgain) {
   stand_in_.Put("p/a", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }));
@@ -170,7 +170,7 @@
       << "it has learned how slow the store is";
 }
 
-TEST_F(PrefixMirrorTest, WaitThatIsToldIsThatOfTheCallThatTold) {
+TEST_F(PrefixMirrorTest, ReportsDurationOfTheCallThatChangedReachability) {
   std::vector<absl::Duration> waits;
   std::unique_ptr<PrefixMirror> other;
   other = std::make_unique<PrefixMirror>(
@@ -182,13 +182,13 @@
   RunUntilFor([] { return false; }, absl::Milliseconds(600));
   other->Refresh();  // A second call, in parallel to the watch.
   RunUntilFor([] { return false; }, absl::Milliseconds(100));
-  EXPECT_GE(other->Waiting().value_or(absl::ZeroDuration()), absl::Milliseconds(600));
+  EXPECT_GE(other->PendingCallTime().value_or(absl::ZeroDuration()), absl::Milliseconds(600));
   stand_in_.ResetWaiting();
   ASSERT_TRUE(RunUntil([&] { return waits.size() >= 2; }));
   EXPECT_GE(waits[1], absl::Milliseconds(600)) << "the watch's, not an earlier call's";
 }
 
-TEST_F(PrefixMirrorTest, StoreThatEndsWatchesEarlyIsNotAskedWithoutPause) {
+TEST_F(PrefixMirrorTest, PausesBetweenWatchesThatEndEarly) {
   stand_in_.Put("p/a", "1");
   stand_in_.faults().hasty = true;
   stand_in_.faults().delay =
@@ -200,7 +200,7 @@
   EXPECT_LE(client_->calls(), calls + 6) << "each 0.2 s";
 }
 
-TEST_F(PrefixMirrorTest, MirrorThatBeginsToWatchTellsAnewWhetherTheStoreAnswers) {
+TEST_F(PrefixMirrorTest, ReportsReachabilityAgainWhenWatchingStarts) {
   int told = 0;
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {},
@@ -213,7 +213,7 @@
       << "at once, not when something changes";
 }
 
-TEST_F(PrefixMirrorTest, ForgottenHistoryIsNotReadAnewByOneThatNeedNotWatchAnyMore) {
+TEST_F(PrefixMirrorTest, UnwatchedMirrorDoesNotReadAgainAfterCompaction) {
   stand_in_.Put("p/a", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() == 2; })) << "a range and a watch that waits";
@@ -231,7 +231,7 @@
   EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "2"); }));
 }
 
-TEST_F(PrefixMirrorTest, ManyRemovalsAreForgottenAndAPeerThatIsBehindStillLosesThem) {
+TEST_F(PrefixMirrorTest, PeerBehindPrunedRemovalsGetsAFullDelta) {
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {}, [](bool, StoreStatus) {});
   constexpr int kRemoved = 1300;
@@ -240,7 +240,7 @@
   }
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return mirror_->items().size() == kRemoved; }));
-  other.TakeDelta(mirror_->ChangesSince(0));
+  other.ApplyDelta(mirror_->ChangesSince(0));
   ASSERT_EQ(other.items().size(), static_cast<std::size_t>(kRemoved));
   for (int number = 0; number < kRemoved; ++number) {
     stand_in_.Remove("p/" + std::to_string(number));
@@ -249,11 +249,11 @@
   mirror_delta delta = mirror_->ChangesSince(other.last_change());
   EXPECT_TRUE(delta.m_full);
   EXPECT_LE(delta.m_removals.size(), 1000U);
-  other.TakeDelta(delta);
+  other.ApplyDelta(delta);
   EXPECT_TRUE(other.items().empty());
 }
 
-TEST_F(PrefixMirrorTest, ForgottenHistoryIsReadAnewAndWhatIsMissingIsGone) {
+TEST_F(PrefixMirrorTest, ReadsAllKeysAgainAfterCompaction) {
   stand_in_.Put("p/a", "1");
   stand_in_.Put("p/b", "1");
   mirror_->Start();
@@ -269,7 +269,7 @@
   EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "2") && mirror_->items().size() == 1; }));
 }
 
-TEST_F(PrefixMirrorTest, EveryFaultEndsAndTheLatestValueArrives) {
+TEST_F(PrefixMirrorTest, IsUpToDateAfterEachFault) {
   struct FaultCase {
     const char* name;
     bool emulator::StoreFaults::*fault;
@@ -310,14 +310,14 @@
 
   explicit ScriptedStore(async_http::asio::io_context& context) : context_(context) {}
 
-  async_http::Task<ReadAnswer> Get(std::string /*key*/) override { co_return ReadAnswer{}; }
-  async_http::Task<ReadAnswer> Range(std::string /*prefix*/) override {
-    ranges.push_back(std::make_shared<Pending<ReadAnswer>>(context_));
+  async_http::Task<ReadResult> Get(std::string /*key*/) override { co_return ReadResult{}; }
+  async_http::Task<ReadResult> Range(std::string /*prefix*/) override {
+    ranges.push_back(std::make_shared<Pending<ReadResult>>(context_));
     return AnswerOf(ranges.back());
   }
-  async_http::Task<WatchAnswer> Watch(std::string /*prefix*/, Revision after,
+  async_http::Task<WatchResult> Watch(std::string /*prefix*/, Revision after,
                                       absl::Duration /*patience*/) override {
-    watches.push_back(std::make_shared<Pending<WatchAnswer>>(context_));
+    watches.push_back(std::make_shared<Pending<WatchResult>>(context_));
     watches.back()->after = after;
     return AnswerOf(watches.back());
   }
@@ -326,8 +326,8 @@
   }
   std::uint64_t calls() const override { return ranges.size() + watches.size(); }
 
-  std::vector<std::shared_ptr<Pending<ReadAnswer>>> ranges;
-  std::vector<std::shared_ptr<Pending<WatchAnswer>>> watches;
+  std::vector<std::shared_ptr<Pending<ReadResult>>> ranges;
+  std::vector<std::shared_ptr<Pending<WatchResult>>> watches;
 
  private:
   template <typename Kind>
@@ -341,11 +341,11 @@
   async_http::asio::io_context& context_;
 };
 
-ReadAnswer Reading(Revision revision, std::vector<StoreItem> items) {
+ReadResult Reading(Revision revision, std::vector<StoreItem> items) {
   return {StoreStatus::kDone, std::move(items), revision};
 }
 
-WatchAnswer Watched(Revision revision, std::vector<StoreChange> changes) {
+WatchResult Watched(Revision revision, std::vector<StoreChange> changes) {
   return {StoreStatus::kDone, std::move(changes), revision};
 }
 
@@ -391,7 +391,7 @@
 
 // Guards against a removed key reappearing when a reply from before the removal arrives after a
 // newer full read or a peer's full delta.
-TEST_F(ScriptedMirrorTest, LateAnswerBringsNoKeyBackThatANewerCopyNoLongerHas) {
+TEST_F(ScriptedMirrorTest, LateReplyDoesNotRestoreARemovedKey) {
   struct LateCase {
     const char* name;
     std::function<void(PrefixMirror&)> newer_copy_then_late_answer;
@@ -409,7 +409,7 @@
        }},
       {"a watch after a peer's whole copy",
        [&](PrefixMirror& mirror) {
-         mirror.TakeDelta(FullDelta(9, {{"p/a", "1", 2}, {"p/b", "1", 9}}));
+         mirror.ApplyDelta(FullDelta(9, {{"p/a", "1", 2}, {"p/b", "1", 9}}));
          store_.watches[0]->Give(Watched(5, {put}));
          ASSERT_TRUE(RunUntil([&] { return store_.watches.size() == 2; }));
        }},
@@ -417,8 +417,8 @@
        [&](PrefixMirror& mirror) {
          mirror.Refresh();
          ASSERT_TRUE(RunUntil([&] { return store_.ranges.size() == 2; }));
-         WatchAnswer gone;
-         gone.status = StoreStatus::kHistoryGone;
+         WatchResult gone;
+         gone.status = StoreStatus::kCompacted;
          store_.watches[0]->Give(gone);
          ASSERT_TRUE(RunUntil([&] { return store_.ranges.size() == 3; }));
          store_.ranges[2]->Give(Reading(12, {{"p/a", "1", 2}}));
@@ -441,7 +441,7 @@
 
 // Guards against a peer keeping a removed key: a mirror whose state was replaced by a full read or
 // a full delta must not send a partial delta that lacks removals.
-TEST_F(ScriptedMirrorTest, PeerToldByACopyThatWasReplacedAsAWholeLosesWhatWasRemoved) {
+TEST_F(ScriptedMirrorTest, PeerOfAReplacedMirrorRemovesKeys) {
   struct ReplacedCase {
     const char* name;
     std::function<void(PrefixMirror&)> replace;
@@ -460,27 +460,27 @@
        }},
       {"by a peer's whole copy",
        [&](PrefixMirror& mirror) {
-         mirror.TakeDelta(FullDelta(13, {{"p/a", "1", 2}, {"p/b", "1", 13}}));
+         mirror.ApplyDelta(FullDelta(13, {{"p/a", "1", 2}, {"p/b", "1", 13}}));
        }},
   };
   for (const ReplacedCase& test : cases) {
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror* teller = &kept_.emplace_back(StartedMirror());
-    Mirror asker = MakeMirror();
-    asker->TakeDelta(FullDelta(10, {{"p/a", "1", 2}, {"p/k", "1", 5}, {"p/c", "1", 10}}));
-    test.replace(**teller);
-    asker->TakeDelta((*teller)->ChangesSince(asker->last_change()));
-    EXPECT_EQ(asker->last_change(), 13U);
-    EXPECT_TRUE(asker->items().contains("p/b"));
-    EXPECT_FALSE(asker->items().contains("p/k"));
+    Mirror* sender = &kept_.emplace_back(StartedMirror());
+    Mirror requester = MakeMirror();
+    requester->ApplyDelta(FullDelta(10, {{"p/a", "1", 2}, {"p/k", "1", 5}, {"p/c", "1", 10}}));
+    test.replace(**sender);
+    requester->ApplyDelta((*sender)->ChangesSince(requester->last_change()));
+    EXPECT_EQ(requester->last_change(), 13U);
+    EXPECT_TRUE(requester->items().contains("p/b"));
+    EXPECT_FALSE(requester->items().contains("p/k"));
   }
 }
 
 // Guards against a restarted process taking a partial delta, meant for its predecessor at the same
 // address, for the complete state.
-TEST_F(ScriptedMirrorTest, ChangesForAnEarlierProcessAreNoWholeCopy) {
+TEST_F(ScriptedMirrorTest, PartialDeltaForAnEarlierProcessIsIgnored) {
   const mirror_delta since_20{21, false, {{"p/new", "1", 21}}, {{"p/old", 21}}};
   struct StartCase {
     const char* name;
@@ -498,11 +498,11 @@
       store_.ranges[0]->Give(Reading(3, {}));
       ASSERT_TRUE(RunUntil([&] { return mirror->complete(); }));
     }
-    mirror->TakeDelta(since_20);
+    mirror->ApplyDelta(since_20);
     EXPECT_EQ(mirror->complete(), test.has_read);
     EXPECT_EQ(mirror->last_change(), 0U) << "it asks again, from the beginning";
     EXPECT_TRUE(mirror->items().empty());
-    mirror->TakeDelta(FullDelta(21, {{"p/a", "1", 2}, {"p/new", "1", 21}}));
+    mirror->ApplyDelta(FullDelta(21, {{"p/a", "1", 2}, {"p/new", "1", 21}}));
     EXPECT_TRUE(mirror->complete());
     EXPECT_EQ(mirror->items().size(), 2U);
   }
--- a/tests/store/store_silence_test.cc
+++ b/tests/store/store_outage_test.cc
@@ -18,10 +18,10 @@
 namespace {
 
 /// Maximum time from the end of an outage until a mirror is up to date.
-constexpr absl::Duration kContactBound = absl::Seconds(3);
+constexpr absl::Duration kRecoveryBound = absl::Seconds(3);
 /// Long enough for several calls to fail.
 constexpr absl::Duration kOutage = absl::Milliseconds(1200);
-constexpr absl::Duration kPatience = absl::Seconds(20);
+constexpr absl::Duration kTimeout = absl::Seconds(20);
 
 /// A fault injected into a store.
 struct FaultCase {
@@ -40,13 +40,13 @@
 
 const FaultCase kFaults[] = {
     Faulty("silent", &emulator::StoreFaults::silent),
-    {"silent, and the watches that wait are lost",
+    {"silent, pending watches are lost",
      [](auto& store) {
        store.faults().silent = true;
        store.SilenceWaiting();
      },
      Set(&emulator::StoreFaults::silent, false)},
-    {"open connections fall silent", [](auto& store) { store.SilenceWaiting(); }, [](auto&) {}},
+    {"open connections become silent", [](auto& store) { store.SilenceWaiting(); }, [](auto&) {}},
     {"resets",
      [](auto& store) {
        store.faults().reset = true;
@@ -70,8 +70,8 @@
 };
 
 /// A store with one fault, and its mirror.
-struct FollowedStore {
-  FollowedStore(wire::EventLoop& loop, const FaultCase& given)
+struct MirroredStore {
+  MirroredStore(wire::EventLoop& loop, const FaultCase& given)
       : fault(given),
         store(loop.context()),
         mirror(
@@ -87,7 +87,7 @@
                                                      wire::Endpoint{"127.0.0.1", store.port()});
     return *client;
   }
-  bool Holds(const std::string& value) const {
+  bool HasValue(const std::string& value) const {
     auto found = mirror.items().find("p/a");
     return found != mirror.items().end() && found->second.value == value;
   }
@@ -100,73 +100,74 @@
 };
 
 /// Runs all faults at once, each at its own store.
-class StoreSilenceTest : public ::testing::Test {
+class StoreOutageTest : public ::testing::Test {
  protected:
-  StoreSilenceTest() {
+  StoreOutageTest() {
     for (const FaultCase& fault : kFaults) {
-      followed_.push_back(std::make_unique<FollowedStore>(loop_, fault));
+      stores_.push_back(std::make_unique<MirroredStore>(loop_, fault));
     }
   }
 
-  using Condition = std::function<bool(const FollowedStore&)>;
+  using Condition = std::function<bool(const MirroredStore&)>;
 
   /// @return names of the faults whose store did not meet the condition in time.
-  std::string Missed(absl::Duration patience, const Condition& condition) {
-    std::vector<bool> met(followed_.size(), false);
-    absl::Time end = SteadyNow() + patience;
+  std::string Missed(absl::Duration timeout, const Condition& condition) {
+    std::vector<bool> met(stores_.size(), false);
+    absl::Time end = SteadyNow() + timeout;
     while (SteadyNow() < end && std::count(met.begin(), met.end(), false) > 0) {
       loop_.RunRound(absl::Milliseconds(10));
       for (std::size_t index = 0; index < met.size(); ++index) {
-        met[index] = met[index] || condition(*followed_[index]);
+        met[index] = met[index] || condition(*stores_[index]);
       }
     }
     std::string missed;
     for (std::size_t index = 0; index < met.size(); ++index) {
-      missed += met[index] ? "" : std::string(followed_[index]->fault.name) + "; ";
+      missed += met[index] ? "" : std::string(stores_[index]->fault.name) + "; ";
     }
     return missed;
   }
 
   /// Applies each fault for `kOutage` and changes the key meanwhile.
-  void Outages() {
-    auto waits = [](const FollowedStore& each) {
-      return each.Holds("before") && each.client->calls() >= 2;
+  void RunOutages() {
+    auto watching = [](const MirroredStore& each) {
+      return each.HasValue("before") && each.client->calls() >= 2;
     };
-    ASSERT_EQ(Missed(kPatience, waits), "") << "a reading, and a watch that waits";
-    for (auto& each : followed_) {
+    ASSERT_EQ(Missed(kTimeout, watching), "") << "expected a read and a pending watch";
+    for (auto& each : stores_) {
       each->fault.begin(each->store);
       each->store.Put("p/a", "meanwhile");  // Ends the pending watch, unless the fault has.
     }
     for (absl::Time end = SteadyNow() + kOutage; SteadyNow() < end;) {
       loop_.RunRound(absl::Milliseconds(10));
     }
-    for (auto& each : followed_) {
+    for (auto& each : stores_) {
       each->fault.end(each->store);
     }
   }
 
   wire::EventLoop loop_;
-  std::vector<std::unique_ptr<FollowedStore>> followed_;
+  std::vector<std::unique_ptr<MirroredStore>> stores_;
 };
 
-TEST_F(StoreSilenceTest, LatestValueIsKnownSoonAfterEveryFault) {
-  ASSERT_NO_FATAL_FAILURE(Outages());
-  for (auto& each : followed_) {
+TEST_F(StoreOutageTest, MirrorIsUpToDateAfterEachFault) {
+  ASSERT_NO_FATAL_FAILURE(RunOutages());
+  for (auto& each : stores_) {
     each->store.Put("p/a", "after");
   }
-  auto knows = [](const FollowedStore& each) { return each.Holds("after"); };
-  EXPECT_EQ(Missed(kContactBound, knows), "") << "the store was back, and the copy was not";
+  auto up_to_date = [](const MirroredStore& each) { return each.HasValue("after"); };
+  EXPECT_EQ(Missed(kRecoveryBound, up_to_date), "")
+      << "mirror is stale after the store has recovered";
 }
 
-TEST_F(StoreSilenceTest, ContactIsKnownSoonAfterEveryFaultThoughNothingChanges) {
-  ASSERT_NO_FATAL_FAILURE(Outages());
+TEST_F(StoreOutageTest, MirrorIsConfirmedAfterEachFaultWithoutChanges) {
+  ASSERT_NO_FATAL_FAILURE(RunOutages());
   absl::Time ended = SteadyNow();
-  auto confirmed = [ended](const FollowedStore& each) {
+  auto confirmed = [ended](const MirroredStore& each) {
     bool since_the_end = each.mirror.Staleness() < SteadyNow() - ended;
-    return each.reachable && since_the_end && each.Holds("meanwhile");
+    return each.reachable && since_the_end && each.HasValue("meanwhile");
   };
-  EXPECT_EQ(Missed(kContactBound, confirmed), "")
-      << "whoever waits for the store to be back waited for its next change";
+  EXPECT_EQ(Missed(kRecoveryBound, confirmed), "")
+      << "recovery was not detected without a further change";
 }
 
 }  // namespace
