--- a/src/async_http/connection.cc
+++ b/src/async_http/connection.cc
@@ -19,13 +19,13 @@
 constexpr std::size_t kReadBytes = std::size_t{16} << 10;
 constexpr std::uint64_t kBodyLimit = std::uint64_t{64} << 20;
 constexpr std::uint32_t kHeaderLimit = std::uint32_t{64} << 10;
-/// Bytes that the peer doesn't take in this time break the connection.
+/// The connection fails if sent data isn't acknowledged in this time.
 constexpr unsigned kUserTimeoutMilliseconds = 1000;
 
 constexpr unsigned kFirstFinalStatus = 200;
 constexpr unsigned kSwitchingProtocols = 101;
 
-/// @return whether the answer proper follows. By number: Beast has no name for some of these.
+/// @return whether a final response follows. Compares numbers: Beast lacks some of the names.
 bool IsInterim(const ResponseParser& parser) {
   unsigned status = parser.get().result_int();
   return status < kFirstFinalStatus && status != kSwitchingProtocols;
--- a/src/async_http/connection.h
+++ b/src/async_http/connection.h
@@ -1,5 +1,5 @@
-// Client side of HTTP/1.1 over Asio and Boost.Beast: one connection to a back end, step by step,
-// so that the caller knows after every step what has left and what has come.
+// HTTP/1.1 client over Asio and Boost.Beast: one connection to a back end, with separate send and
+// read steps, so that the caller knows what was sent and received after each step.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -17,47 +17,47 @@
 
 using ResponseParser = boost::beast::http::response_parser<boost::beast::http::string_body>;
 
-/// How a step of reading ended.
+/// Result of a read step.
 enum class ReadStep {
-  kProgress,   ///< More of the answer is there.
-  kWhole,      ///< The answer is whole.
-  kClosed,     ///< The peer closed or reset before the answer was whole.
-  kMalformed,  ///< Bytes that are no answer.
+  kProgress,   ///< Received another part of the response.
+  kWhole,      ///< The response is complete.
+  kClosed,     ///< Closed or reset by the peer before the response was complete.
+  kMalformed,  ///< Not a valid response.
 };
 
-/// One connection. Not shared: whoever holds it runs one request at a time on it.
+/// A connection. Runs one request at a time and must not be shared.
 class Connection {
  public:
   Connection(asio::io_context& context, const wire::Endpoint& peer);
 
   /// @return true once connected.
   Task<bool> Connect();
-  /// Sends bytes. @return false when the connection failed; some may have left.
+  /// Sends bytes. @return false if the connection failed; a part may have been sent.
   Task<bool> Send(absl::string_view bytes);
-  /// Starts reading the next answer; interim ones (1xx) before it are passed over.
-  /// @param head_request answers to HEAD carry no body.
+  /// Starts reading the next response; interim (1xx) responses are skipped.
+  /// @param head_request whether the request is HEAD, whose response has no body.
   void BeginAnswer(bool head_request);
-  /// Reads until the head is whole, or beyond.
+  /// Reads at least until the header is complete.
   Task<ReadStep> ReadHead();
-  /// Reads some of the body into the parser's body; take it from there.
+  /// Reads a part of the body into the parser's body.
   Task<ReadStep> ReadBody();
   ResponseParser& parser() { return *parser_; }
 
-  /// Closes at once; waiting steps end as `kClosed`.
+  /// Closes immediately; pending steps end with `kClosed`.
   void Close();
   bool is_open() const { return socket_.is_open(); }
-  /// @return true when the idle connection was closed by the peer or holds bytes nobody asked for.
+  /// @return whether the idle connection was closed by the peer or has received unexpected bytes.
   bool IsStale();
-  /// @return true when the last answer left no bytes behind and the peer keeps the connection.
+  /// @return whether no bytes follow the last response and the peer keeps the connection open.
   bool MayBeReused() const;
-  /// @return true when only the end of the connection told where the answer ends.
+  /// @return whether the response was delimited by the end of the connection.
   bool ended_by_close() const { return ended_by_close_; }
-  /// Any byte of the present request was handed to the system for sending.
+  /// @return whether any byte of the current request was written to the socket.
   bool any_sent() const { return any_sent_; }
   const wire::Endpoint& peer() const { return peer_; }
   absl::Time idle_since() const { return idle_since_; }
   void set_idle_since(absl::Time when) { idle_since_ = when; }
-  /// How long the peer said it keeps the connection; infinite when it did not say.
+  /// Keep-alive timeout announced by the peer; infinite if none.
   absl::Duration peer_keeps() const { return peer_keeps_; }
   std::uint64_t uses() const { return uses_; }
 
--- a/src/async_http/server.cc
+++ b/src/async_http/server.cc
@@ -29,14 +29,13 @@
 
 constexpr int kBacklog = 4096;
 constexpr std::size_t kReadBytes = std::size_t{16} << 10;
-/// Bytes that a client doesn't take in this time break the connection.
+/// The connection fails if sent data isn't acknowledged in this time.
 constexpr unsigned kUserTimeoutMilliseconds = 5000;
-/// Seconds until a refused client may come again.
+/// Retry-After of rejected requests, in seconds.
 constexpr absl::string_view kOverloadRetryAfter = "0.3";
 constexpr absl::Duration kAcceptPause = absl::Milliseconds(20);
-/// A client whose next request came early is looked at this often, whether it has left: bytes that
-/// lie unread make its socket readable for good. A tenth of what a person takes for an instant, and
-/// twenty system calls a second for each such client.
+/// Interval of polling a client with a pipelined request for its disconnect: unread bytes keep the
+/// socket readable, so readability can't signal it.
 constexpr absl::Duration kEarlyClientLook = absl::Milliseconds(50);
 
 using RequestParser = http::request_parser<http::string_body>;
@@ -73,7 +72,7 @@
   std::set<ServerConnection*> connections;
 };
 
-/// One client connection: reads requests one after the other and lets the handler answer them.
+/// A client connection: reads requests one after the other and passes them to the handler.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(std::shared_ptr<Server::Shared> shared, Socket socket)
@@ -90,9 +89,9 @@
 
   Task<bool> SendBytes(absl::string_view bytes);
   void Close();
-  /// Closes the connection if it rests and no byte of a request has come.
+  /// Closes the connection if it is idle and no byte of a request was received.
   void CloseIfIdle();
-  /// Keeps an eye on the client while its request is worked on.
+  /// Watches for a disconnect of the client while its request is processed.
   void Watch(std::shared_ptr<Exchange> exchange);
   std::string ConnectionFields(bool* closes) const;
   const HttpRequest* current() const { return current_; }
@@ -109,7 +108,7 @@
   void ReleaseBody();
   void OnReadable();
   void ArmWatch();
-  /// Looks after a while whether the client, which has sent more than was read, has left.
+  /// Schedules a check for the disconnect of a client with unread bytes.
   void LookLater();
   void LookForEnd();
 
@@ -118,7 +117,7 @@
   boost::beast::flat_buffer buffer_;
   std::weak_ptr<Exchange> watched_;
   bool watch_armed_ = false;
-  std::unique_ptr<Alarm> look_;  // Of the present exchange only.
+  std::unique_ptr<Alarm> look_;  // For the current exchange only.
   bool keep_open_ = true;
   bool rests_ = false;  // No byte of the next request has been read.
   std::uint64_t reserved_body_ = 0;
@@ -135,7 +134,7 @@
     }
   });
   auto [error, count] = co_await socket_.async_read_some(buffer_.prepare(kReadBytes), kAwait);
-  // Closed while the bytes were on their way here: the client takes the close for "not read".
+  // Closed after the bytes arrived: the client takes the close to mean that nothing was processed.
   if (error || !socket_.is_open()) {
     co_return false;
   }
@@ -182,8 +181,7 @@
   }
   rests_ = false;
   RequestParser parser;
-  // Not eager until the header is whole: the header is then known apart from a chunked body's
-  // trailer.
+  // Not eager until the header is complete, to keep it apart from the trailer of a chunked body.
   parser.eager(false);
   parser.header_limit(limits.header_bytes);
   parser.body_limit(limits.body_bytes);
@@ -238,8 +236,8 @@
   keep_open_ = parser.keep_alive();
   exchange.request_ = parser.release();
   if (header) {
-    // The parser adds a trailer's fields to the header's. They came after the request was begun,
-    // may repeat any header's name, and none of them is asked for.
+    // The parser adds trailer fields to the header. Drop them: they may repeat the name of any
+    // header field, and none is used.
     exchange.request_.base() = std::move(*header);
   }
   exchange.received_at_ = SteadyNow();
@@ -309,7 +307,7 @@
   char byte = 0;
   ssize_t count = recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count > 0) {
-    LookLater();  // The next request came early; it is read when this one is answered.
+    LookLater();  // Pipelined request; read after the current response.
     return;
   }
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
@@ -401,7 +399,7 @@
 
 Task<bool> Exchange::Send(HttpHead head, std::string body) {
   if (stream_started_) {
-    Break();  // Two heads in one answer would let the rest pass for another request's.
+    Break();  // A second header would make the rest look like the response to another request.
     co_return false;
   }
   answered_ = true;
@@ -441,7 +439,7 @@
 Task<bool> Exchange::Finish() {
   answered_ = true;
   if (!has_body_) {
-    co_return true;  // Its answer ended with the head: more would be read as the next one's.
+    co_return true;  // The response ended with its header; more bytes would belong to the next one.
   }
   co_return co_await connection_.SendBytes("0\r\n\r\n");
 }
@@ -462,11 +460,11 @@
       co_return;
     }
     if (error) {
-      co_await Sleep(shared->context, kAcceptPause);  // Out of descriptors, for a while.
+      co_await Sleep(shared->context, kAcceptPause);  // Out of file descriptors.
       continue;
     }
     if (shared->stats.open_connections >= shared->limits.connections) {
-      continue;  // Closed unread: the client knows that nothing was taken.
+      continue;  // Closed without reading, so the client knows that nothing was processed.
     }
     error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
--- a/src/async_http/server.h
+++ b/src/async_http/server.h
@@ -1,7 +1,7 @@
 // HTTP/1.1 server over Asio and Boost.Beast: each connection is a coroutine on the loop's thread.
 //
-// What the handler sees is an `Exchange`: one request, whole, and the ways to answer it, among them
-// breaking the connection so that a half-sent answer can't look complete.
+// Handlers get an `Exchange`: one complete request and the means to respond to it, or to abort the
+// connection so that a partial response is seen as truncated.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -34,35 +34,36 @@
   absl::Duration header_timeout = absl::Seconds(3);
   absl::Duration body_timeout = absl::Seconds(10);
   absl::Duration idle_timeout = absl::Seconds(15);
-  /// Bodies read and not yet answered, over all connections; more are refused.
+  /// Total size of the request bodies in progress over all connections; more are rejected.
   std::uint64_t buffered_body_bytes = std::uint64_t{64} << 20;
   std::size_t connections = 3000;
 };
 
 class ServerConnection;
 
-/// One request and its answer. Lives until the handler's coroutine ends.
+/// A request and its response. Lives until the handler's coroutine ends.
 class Exchange {
  public:
   explicit Exchange(ServerConnection& connection) : connection_(connection) {}
 
   HttpRequest& request() { return request_; }
   absl::Time received_at() const { return received_at_; }
-  /// True once the client's end of the connection has closed.
+  /// @return whether the client has disconnected.
   bool client_gone() const { return client_gone_; }
-  /// `on_gone` runs once if the client leaves; at once if it has left. Replaces an earlier one.
+  /// Calls `on_gone` once when the client disconnects, immediately if it has. Replaces the last
+  /// one.
   void OnClientGone(std::function<void()> on_gone);
   void ClearOnClientGone() { on_gone_ = nullptr; }
 
-  /// Sends a whole answer. Where one was started as a stream, it breaks the connection instead.
-  /// @return false when the client could not be reached.
+  /// Sends a complete response, or aborts the connection if a stream was already started.
+  /// @return whether the response was sent.
   Task<bool> Send(HttpHead head, std::string body);
-  /// Starts an answer of unknown length; to HEAD its head is all that is sent.
+  /// Starts a response of unknown length; for HEAD only its header is sent.
   Task<bool> StartStream(HttpHead head);
   Task<bool> Write(absl::string_view bytes);
-  /// Ends a started answer properly.
+  /// Completes a started stream.
   Task<bool> Finish();
-  /// Breaks the connection; a started answer then never looks complete.
+  /// Aborts the connection; a started response is seen as truncated.
   void Break();
   bool answered() const { return answered_; }
   bool stream_started() const { return stream_started_; }
@@ -78,7 +79,7 @@
   std::function<void()> on_gone_;
   bool client_gone_ = false;
   bool stream_started_ = false;
-  bool has_body_ = true;  // Of a started stream: not behind HEAD, 204 and 304.
+  bool has_body_ = true;  // False for streams in response to HEAD and with status 204 or 304.
   bool answered_ = false;
   bool broken_ = false;
 };
@@ -93,8 +94,8 @@
   std::uint64_t refused_bodies = 0;
 };
 
-/// Listens on one endpoint. Used on the loop's thread only; outlives its connections' coroutines,
-/// which hold what they need of it.
+/// Listens on one endpoint. Not thread-safe: for the event loop's thread only. Coroutines of its
+/// connections share ownership of the state that they need.
 class Server {
  public:
   Server(asio::io_context& context, ExchangeHandler handler);
@@ -103,11 +104,11 @@
   Result<void> Listen(const wire::Endpoint& endpoint);
   /// @return the port listened on.
   std::uint16_t port() const;
-  /// From now on every answer asks the client to close its connection.
+  /// Makes all further responses ask the client to close the connection.
   void BeginDrain();
-  /// The same for as long as it is wanted.
+  /// As `BeginDrain`, but can be disabled again.
   void AskToClose(bool ask);
-  /// Stops listening and closes connections that rest; those with a request under way go on.
+  /// Stops listening and closes idle connections; those with a request in progress continue.
   void CloseIdle();
   ServerLimits& limits();
   const ServerStats& stats() const;
--- a/src/async_http/task.h
+++ b/src/async_http/task.h
@@ -1,8 +1,8 @@
 // Coroutines over Asio: the types that all asynchronous HTTP code uses.
 //
-// Boost.Beast and Asio stand here in place of libmicrohttpd and libcurl: those can neither report
-// that a waiting client has left, nor break an answer off so that it can't look complete, nor show
-// the bytes after a whole answer. See docs/design/0004-users-platform.md.
+// Uses Boost.Beast and Asio, since libmicrohttpd and libcurl can't report the disconnect of a
+// waiting client, abort a response so that it is seen as truncated, or expose the bytes after a
+// complete response. See docs/design/0004-users-platform.md.
 #pragma once
 
 #include <boost/asio/as_tuple.hpp>
@@ -33,7 +33,7 @@
 /// Completion token: the coroutine receives the error code with the result.
 inline constexpr auto kAwait = asio::as_tuple(asio::use_awaitable);
 
-/// Runs `on_expiry` on the loop's thread unless it is destroyed or stopped before.
+/// Timer that runs `on_expiry` on the loop's thread unless stopped or destroyed before.
 class Alarm {
  public:
   Alarm(asio::io_context& context, absl::Duration delay, std::function<void()> on_expiry);
@@ -46,16 +46,16 @@
   std::shared_ptr<asio::steady_timer> timer_;
 };
 
-/// Waits by the steady clock.
+/// Waits for `delay` of the steady clock.
 Task<void> Sleep(asio::io_context& context, absl::Duration delay);
 
-/// Wakes coroutines that wait for a condition which others change.
+/// Condition variable for coroutines of one event loop.
 class Signal {
  public:
   explicit Signal(asio::io_context& context) : context_(context) {}
-  /// Wakes every coroutine that waits now.
+  /// Wakes all waiting coroutines.
   void Notify();
-  /// @return true when `Notify` was called, false after `patience`.
+  /// @return whether `Notify` was called within `patience`.
   Task<bool> Wait(absl::Duration patience);
 
  private:
--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -1,8 +1,8 @@
-// Cereal archives over plain memory, in the layout of cereal's portable binary archive.
+// Cereal archives in memory, in the format of cereal's portable binary archive.
 //
-// The reader checks every length against the bytes that are left before anything is allocated for
-// it: a garbled message, or one of another type, must not cost more memory than it is long.
-// Cereal's own archives reserve whatever length they read.
+// The reader checks each length against the remaining bytes before allocating, so that a malformed
+// message can't use more memory than its size. Cereal's own archives allocate any length that
+// they read.
 #pragma once
 
 #include <bit>
@@ -21,7 +21,7 @@
 static_assert(std::endian::native == std::endian::little,
               "bytes are written as they lie in memory");
 
-/// The first byte of a message tells the byte order: 1 is little-endian.
+/// First byte of a message, the byte order: 1 is little-endian.
 inline constexpr std::uint8_t kLittleEndian = 1;
 
 /// Appends messages to a string.
@@ -46,8 +46,8 @@
   Layout layout_;
 };
 
-/// Reads messages from bytes that outlive it. Throws cereal::Exception when they end too early or
-/// name a length that they can't hold.
+/// Reads messages from bytes that must outlive it. Throws cereal::Exception if they are truncated
+/// or contain a length beyond their end.
 class BytesInputArchive
     : public cereal::InputArchive<BytesInputArchive, cereal::AllowEmptyClassElision> {
  public:
@@ -68,7 +68,7 @@
     unread_.remove_prefix(size);
   }
 
-  /// Throws unless `elements` may still follow; each takes a byte at least.
+  /// Throws if fewer than `elements` bytes remain; each element takes at least one.
   void CheckHolds(std::uint64_t elements) const {
     if (elements > unread_.size()) {
       throw cereal::Exception("a length beyond the message's end");
@@ -83,7 +83,7 @@
   Layout layout_;
 };
 
-// ---- What cereal asks of an archive; it finds these functions by their name ----
+// ---- Functions that cereal requires of an archive and finds by name ----
 
 template <typename Number>
 requires std::is_arithmetic_v<Number>
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -1,4 +1,4 @@
-// Turns typed messages into bytes and back, with cereal.
+// Encodes and decodes typed messages with cereal.
 #pragma once
 
 #include <cereal/types/array.hpp>
@@ -16,7 +16,7 @@
 
 namespace martenyard::wire {
 
-/// @return `message` as bytes that `Decode` understands on any machine.
+/// @return the encoded message, readable by `Decode`.
 template <typename Message>
 std::string Encode(const Message& message, Layout layout = kUnmarkedLayout) {
   std::string bytes;
@@ -25,8 +25,8 @@
   return bytes;
 }
 
-/// @return the message, or nothing when `bytes` are not exactly one message of this type and
-/// layout. Allocates no more than in proportion to the bytes, whatever they hold.
+/// @return the message, or nullopt if `bytes` are not exactly one message of this type and layout.
+/// Memory use is proportional to the size of `bytes`, even for malformed input.
 template <typename Message>
 std::optional<Message> Decode(const std::string& bytes, Layout layout = kUnmarkedLayout) {
   try {
@@ -38,11 +38,11 @@
     }
     return message;
   } catch (const std::exception&) {
-    return std::nullopt;  // The caller says which message was unreadable.
+    return std::nullopt;  // The caller reports which message was malformed.
   }
 }
 
-/// @return the message that the bytes begin with, whatever follows it, or nothing.
+/// @return the message at the start of `bytes`, ignoring the rest, or nullopt if malformed.
 template <typename Message>
 std::optional<Message> DecodeBeginning(absl::string_view bytes) {
   try {
@@ -51,7 +51,7 @@
     archive(message);
     return message;
   } catch (const std::exception&) {
-    return std::nullopt;  // The caller says which message was unreadable.
+    return std::nullopt;  // The caller reports which message was malformed.
   }
 }
 
--- a/src/wire/endpoint.h
+++ b/src/wire/endpoint.h
@@ -9,7 +9,7 @@
 
 namespace martenyard::wire {
 
-/// Where a daemon listens, for peers or for callers.
+/// Address that a daemon listens on, for peers or callers.
 struct Endpoint {
   std::string address;
   std::uint16_t port = 0;
@@ -23,7 +23,7 @@
   }
 };
 
-/// @return the endpoint written as "a.b.c.d:port", or nothing if `text` is not one.
+/// Parses "a.b.c.d:port". @return nullopt if `text` is malformed.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
 
 }  // namespace martenyard::wire
--- a/src/wire/event_loop.cc
+++ b/src/wire/event_loop.cc
@@ -14,7 +14,7 @@
 
 namespace asio = boost::asio;
 
-/// The conditions that hold now, so that a failed connection isn't taken for a writable one.
+/// @return the current event bits; distinguishes a failed connection from a writable one.
 std::uint32_t PresentEvents(int file, std::uint32_t event) {
   pollfd query{file, POLLIN | POLLOUT | POLLRDHUP, 0};
   if (poll(&query, 1, 0) <= 0) {
@@ -92,7 +92,7 @@
 
 void EventLoop::OnReady(const std::shared_ptr<FileWatch>& watch, std::uint32_t event) {
   if ((watch->events & event) == 0) {
-    return;  // A wait from before the watch was changed.
+    return;  // Stale: the watched events have changed since.
   }
   std::uint32_t present = (watch->events & EPOLLOUT) != 0
                               ? PresentEvents(watch->descriptor.native_handle(), event)
@@ -109,7 +109,7 @@
   if (found == watches_.end()) {
     return;
   }
-  found->second->descriptor.release();  // Cancels the waits; the file stays its owner's.
+  found->second->descriptor.release();  // Cancels pending waits without closing the file.
   watches_.erase(found);
 }
 
--- a/src/wire/event_loop.h
+++ b/src/wire/event_loop.h
@@ -23,22 +23,22 @@
 
   void Run();
   void Stop();
-  /// One round: waits up to `patience` for something to do, and does it. For tests and tools.
+  /// Runs one round: waits up to `patience` for an event and handles it. For tests and tools.
   void RunRound(absl::Duration patience);
   /// Runs `task` on the loop's thread, in the order posted.
   void Post(std::function<void()> task);
   /// Runs `task` once after `delay`, counted by the steady clock.
   void After(absl::Duration delay, std::function<void()> task);
-  /// Calls `on_ready` with epoll's event bits while `file` is watched. Replaces an earlier watch.
+  /// Calls `on_ready` with epoll event bits while `file` is watched. Replaces an earlier watch.
   void Watch(int file, std::uint32_t events, std::function<void(std::uint32_t)> on_ready);
   void Unwatch(int file);
   /// `hook` runs after every round of callbacks, before the loop waits again.
   void SetRoundHook(std::function<void()> hook) { round_hook_ = std::move(hook); }
-  /// For code that uses Asio itself; its handlers run on the loop's thread too.
+  /// For code that uses Asio directly; its handlers run on the loop's thread too.
   boost::asio::io_context& context() { return context_; }
 
  private:
-  /// One watched file. Handlers hold it weakly: an unwatched file's callbacks are never called.
+  /// A watched file. Handlers hold a weak reference, so no callback runs after `Unwatch`.
   struct FileWatch {
     explicit FileWatch(boost::asio::io_context& context, int file) : descriptor(context, file) {}
     boost::asio::posix::stream_descriptor descriptor;
--- a/src/wire/frame_cutter.h
+++ b/src/wire/frame_cutter.h
@@ -1,4 +1,4 @@
-// Frames on a stream of bytes: a length of four bytes, the highest first, and the payload.
+// Length-prefixed frames on a byte stream: a 4-byte big-endian length, then the payload.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,18 @@
 
 namespace martenyard::wire {
 
-/// Longer frames are refused: their length would have to be believed before a byte has come.
+/// Maximum payload size, so that a corrupt length can't make the receiver buffer without bound.
 inline constexpr std::size_t kMostFrameBytes = std::size_t{64} << 20U;
 
 void AppendFrame(std::string& bytes, absl::string_view payload);
 
-/// Cuts one connection's bytes into frames; it ends with the connection, as does a frame cut short.
+/// Splits the bytes of one connection into frames. Not to be reused for another connection.
 class FrameCutter {
  public:
-  /// Takes bytes as they come, cut anywhere.
-  /// @return false when they can't be frames; the connection is then of no use any more.
+  /// Accepts bytes in chunks of any size.
+  /// @return false if a length exceeds the maximum; the connection has to be closed then.
   bool Feed(absl::string_view bytes, const std::function<void(std::string payload)>& on_frame);
-  /// @return bytes of a frame that has no end yet.
+  /// @return number of buffered bytes of an incomplete frame.
   std::size_t unfinished() const { return received_.size(); }
 
  private:
--- a/src/wire/marked_frame.cc
+++ b/src/wire/marked_frame.cc
@@ -6,7 +6,7 @@
 namespace martenyard::wire {
 namespace {
 
-/// Messages without a mark begin with their byte order, which is 0 or 1.
+/// Differs from the first byte of messages without a mark: their byte order, 0 or 1.
 constexpr char kMarkByte = '\xb5';
 constexpr std::size_t kNumberBytes = sizeof(std::uint16_t);
 constexpr std::size_t kMarkBytes = 1 + 2 * kNumberBytes;
--- a/src/wire/marked_frame.h
+++ b/src/wire/marked_frame.h
@@ -1,5 +1,5 @@
-// What a frame says of itself in front of its message: the layout of its bytes, and the newest
-// layout that its sender reads. And the greeting, which any two builds understand.
+// Header of a frame: the layout of its message, and the newest layout that its sender can read.
+// Also the greeting, whose format is the same for all builds.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +12,18 @@
 
 namespace martenyard::wire {
 
-/// As numbers: a later build's layouts have no name here.
+/// Plain numbers, since layouts of later builds have no enumerator here.
 struct FrameMark {
   std::uint16_t layout = 0;
-  std::uint16_t newest = 0;  ///< That the sender reads.
+  std::uint16_t newest = 0;  ///< Newest layout that the sender can read.
   friend bool operator==(const FrameMark&, const FrameMark&) = default;
 };
 
 /// The layout number of a greeting.
 inline constexpr std::uint16_t kGreetingLayout = 0;
 
-/// Sent to a process whose build isn't known. Later builds may add members at its end, and nothing
-/// else may change.
+/// Sent to a process whose build is unknown. Later builds may append members; nothing else may
+/// change.
 struct Greeting {
   Endpoint from;
   std::string node;
@@ -36,15 +36,15 @@
   }
 };
 
-/// @return the payload of a frame with this mark.
+/// @return the message prefixed with the mark.
 std::string Mark(const FrameMark& mark, absl::string_view message);
-/// Takes the mark off the front. @return nothing where there is none, as in frames of the builds
-/// before it.
+/// Removes the mark from the front. @return nullopt if there is none, as in frames of earlier
+/// builds.
 std::optional<FrameMark> TakeMark(absl::string_view& payload);
 
-/// @return a frame that asks who is there, or answers that.
+/// @return a greeting frame, for requests and replies.
 std::string EncodeGreeting(const Greeting& greeting);
-/// @return the greeting behind its mark, or nothing when it is none.
+/// @return the greeting that follows the mark, or nullopt if malformed.
 std::optional<Greeting> DecodeGreeting(absl::string_view message);
 
 }  // namespace martenyard::wire
--- a/src/wire/sealed.h
+++ b/src/wire/sealed.h
@@ -1,4 +1,4 @@
-// Values as bytes with a checksum in front, so that damage is found and not served.
+// Encoded values prefixed with a checksum, to detect corruption.
 #pragma once
 
 #include <optional>
@@ -19,7 +19,7 @@
   return BigEndian(StableHash(bytes), kSealBytes) + bytes;
 }
 
-/// @return the value, or nothing when the bytes are not as `Seal` made them.
+/// @return the value, or nullopt if the checksum does not match or decoding fails.
 template <typename Value>
 std::optional<Value> Unseal(std::string_view sealed) {
   if (sealed.size() < kSealBytes) {
--- a/src/wire/transport.cc
+++ b/src/wire/transport.cc
@@ -17,14 +17,14 @@
 namespace martenyard::wire {
 namespace {
 
-/// Unless the owner sets its own limit: for daemons with memory to spare.
+/// Default limit, see `LimitUnsent`.
 constexpr std::size_t kMostUnsentBytes = std::size_t{128} << 20;
 constexpr std::size_t kReadBytes = std::size_t{64} << 10;
 constexpr int kBacklog = 512;
 constexpr int kBindAttempts = 20;
-/// A peer behind a cut says nothing: bytes that it didn't take in this time break the connection.
+/// Detects a network partition: the connection fails if sent data isn't acknowledged in this time.
 constexpr unsigned kUserTimeoutMilliseconds = 1000;
-/// A refused connection says that a peer is dead only while the news is this young.
+/// A refused connection is reported only if the attempt is not older than this.
 constexpr absl::Duration kDeathCheckLifetime = absl::Milliseconds(200);
 
 sockaddr_in SocketAddress(const Endpoint& endpoint) {
@@ -59,7 +59,7 @@
       read_buffer_(kReadBytes) {}
 
 Transport::~Transport() {
-  // The loop may outlive this object, and its next file may get the same number.
+  // The loop may outlive this object, and descriptor numbers are reused.
   auto end = [this](int socket) {
     loop_.Unwatch(socket);
     close(socket);
@@ -96,7 +96,7 @@
     close(listener_);
     close(datagrams_);
     listener_ = datagrams_ = -1;
-    // A port the system chose for TCP may be taken for UDP: only then is another try useful.
+    // A port chosen by the system for TCP may be in use for UDP; only then retry.
     if (endpoint.port != 0) {
       return leaf::new_error(TransportError{"cannot listen on " + endpoint.ToString() + ": " +
                                             std::strerror(failure)});
@@ -227,7 +227,7 @@
   if (found == peers_.end()) {
     return;
   }
-  // Peers never send on this direction, so readable means closed.
+  // Peers never send on this connection, so readable means closed.
   if ((events & (EPOLLERR | EPOLLHUP | EPOLLRDHUP | EPOLLIN)) != 0) {
     OnBroken(peer);
     return;
@@ -246,7 +246,7 @@
   absl::Time checked_at = connection.opened_at;
   ClosePeer(peer);
   if (established) {
-    // The process may be dead or may only have closed this connection: a new one tells.
+    // The process may have ended or only closed this connection: reconnect to find out.
     if (Connect(peer)) {
       peers_[peer]->checks_death = true;
     } else if (errno == ECONNREFUSED) {
@@ -260,9 +260,9 @@
 }
 
 void Transport::ReportDead(const Endpoint& peer, absl::Time checked_at) {
-  // Later: this may run amid the owner's own sending.
+  // Deferred, since this may run within a call to `SendFrame`.
   loop_.Post([this, peer, checked_at] {
-    // If this process slept since it checked, the peer may have come back meanwhile.
+    // If this process was suspended since the check, the peer may have restarted.
     if (SteadyNow() - checked_at < kDeathCheckLifetime) {
       on_dead_(peer, checked_at);
     }
--- a/src/wire/transport.h
+++ b/src/wire/transport.h
@@ -1,6 +1,6 @@
 // Frames between daemons: length-prefixed over TCP, and datagrams over UDP on the same port.
-// One outgoing connection per peer; a frame that can't be delivered soon is dropped, never queued
-// without bound, since every protocol above tolerates loss.
+// One outgoing connection per peer. The send queue is bounded and frames beyond it are dropped:
+// all protocols on top tolerate loss.
 #pragma once
 
 #include <cstdint>
@@ -26,19 +26,19 @@
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
   std::uint64_t frames_dropped = 0;
-  std::uint64_t streams_refused = 0;  ///< Connections closed for bytes that are no frames.
+  std::uint64_t streams_refused = 0;  ///< Connections closed because of malformed frames.
 };
 
-/// All on the loop's thread.
+/// Not thread-safe: for the event loop's thread only.
 class Transport {
  public:
   /// Receives a frame's or a datagram's payload.
   using PayloadHandler = std::function<void(std::string payload)>;
 
-  /// Told that a connection to a peer broke and that nothing listens there any more.
+  /// Called when a connection to a peer was lost and reconnecting was refused.
   using DeadHandler = std::function<void(const Endpoint& peer, absl::Time checked_at)>;
 
-  /// Told that the connection to a peer is gone: whatever is sent next goes on a new one.
+  /// Called when the connection to a peer was closed; the next frame opens a new one.
   using ClosedHandler = std::function<void(const Endpoint& peer)>;
 
   Transport(EventLoop& loop, PayloadHandler on_frame, PayloadHandler on_datagram,
@@ -47,17 +47,17 @@
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
 
-  /// Binds TCP and UDP to the same port. Port 0 lets the system choose.
+  /// Binds TCP and UDP to the same port; 0 selects a free one.
   /// Errors: TransportError.
   Result<Endpoint> Listen(const Endpoint& endpoint);
   void SetClosedHandler(ClosedHandler on_closed) { on_closed_ = std::move(on_closed); }
   void SendFrame(const Endpoint& peer, const std::string& payload);
   void SendDatagram(const Endpoint& peer, const std::string& payload);
-  /// @return bytes that wait to be sent to the peer.
+  /// @return number of bytes queued for the peer.
   std::size_t Unsent(const Endpoint& peer) const;
-  /// Bounds the bytes that wait to be sent to all peers together; frames beyond are dropped.
+  /// Limits the bytes queued for all peers together; frames beyond are dropped.
   void LimitUnsent(std::size_t bytes) { most_unsent_ = bytes; }
-  /// @return bytes that wait to be sent to all peers.
+  /// @return number of bytes queued for all peers.
   std::size_t unsent() const { return unsent_; }
   const TransportStats& stats() const { return stats_; }
 
@@ -65,7 +65,7 @@
   struct Connection {
     int socket = -1;
     bool connecting = false;
-    bool checks_death = false;  ///< Opened only because the one before broke.
+    bool checks_death = false;  ///< Opened only to check a peer whose connection was lost.
     absl::Time opened_at;
     std::string unsent;
     FrameCutter received;
@@ -77,7 +77,7 @@
   void Flush(const Endpoint& peer);
   void OnPeerReady(const Endpoint& peer, std::uint32_t events);
   void ClosePeer(const Endpoint& peer);
-  /// @return false with errno set when the connection failed at once.
+  /// @return false with errno set if connecting failed immediately.
   bool Connect(const Endpoint& peer);
   void ReportDead(const Endpoint& peer, absl::Time checked_at);
   void OnBroken(const Endpoint& peer);
@@ -91,9 +91,9 @@
   int datagrams_ = -1;
   std::map<int, std::unique_ptr<Connection>> accepted_;
   std::map<Endpoint, std::unique_ptr<Connection>> peers_;
-  std::size_t unsent_ = 0;         ///< Over all of `peers_`.
+  std::size_t unsent_ = 0;         ///< Sum over `peers_`.
   std::size_t most_unsent_ = 0;    ///< See `LimitUnsent`.
-  std::vector<char> read_buffer_;  // For one read at a time.
+  std::vector<char> read_buffer_;  // Shared by all reads.
   TransportStats stats_;
 };
 
--- a/tests/async_http/connection_test.cc
+++ b/tests/async_http/connection_test.cc
@@ -1,4 +1,4 @@
-// The client side of HTTP over a peer that a test plays byte by byte: where one answer ends.
+// Tests the framing of responses by the HTTP client, with a peer scripted byte by byte.
 #include "async_http/connection.h"
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 constexpr char kAnswer[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: keep-alive\r\n\r\nwhole";
 
-/// Listens on loopback; the test writes what it answers, piece by piece.
+/// Listens on loopback and sends the parts of a response that the test provides.
 class ScriptedPeer {
  public:
   ScriptedPeer() : listener_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -53,7 +53,7 @@
   bool reusable = false;
 };
 
-/// Sends one request; the peer says the pieces, each once the one before was taken in.
+/// Sends one request; the peer sends each part after the previous one was read.
 ReadAnswer Exchange(const std::vector<std::string>& pieces) {
   asio::io_context context;
   ScriptedPeer peer;
@@ -89,12 +89,9 @@
   return answer;
 }
 
-// Symptom: an answer of status 100 or 103 without a body, and the answer proper taken for the one
-// to the next request on the connection. Sequence: the peer sends an interim answer before its
-// final one; the connection counts as free. Cause: the first head was taken for the whole answer's,
-// whatever its status. What settled it: the same bytes in one piece and in several: only those of
-// one piece left bytes behind, for which the connection was not used again.
-TEST(ConnectionTest, InterimAnswerIsNoAnswer) {
+// Guards against taking an interim (1xx) response for the final one, which would then be taken for
+// the response to the next request.
+TEST(ConnectionTest, SkipsInterimResponses) {
   const std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
   const std::string hints = "HTTP/1.1 103 Early Hints\r\nLink: </a>; rel=preload\r\n\r\n";
   struct InterimCase {
@@ -119,14 +116,14 @@
   }
 }
 
-TEST(ConnectionTest, BytesBehindAWholeAnswerAreNeverTheNextOnes) {
+TEST(ConnectionTest, BytesAfterACompleteResponsePreventReuse) {
   ReadAnswer answer = Exchange({std::string(kAnswer) + "HTTP/1.1 200 OK\r\n"});
   EXPECT_EQ(answer.body, "whole");
   EXPECT_FALSE(answer.reusable);
 }
 
-TEST(ConnectionTest, AnswerToHeadEndsWithItsHead) {
-  // The peer's answer to GET has a body of the same length: the framing is the request's.
+TEST(ConnectionTest, ResponseToHeadEndsWithItsHeader) {
+  // Content-Length is that of the GET response; no body follows.
   asio::io_context context;
   ScriptedPeer peer;
   std::vector<std::string> bodies;
--- a/tests/async_http/server_test.cc
+++ b/tests/async_http/server_test.cc
@@ -1,5 +1,5 @@
-// The HTTP server over raw clients on loopback: what one request leaves to the next on its
-// connection, and whether a client that leaves is noticed.
+// Tests the HTTP server with raw clients on loopback: consecutive requests on one connection, and
+// the detection of disconnects.
 #include "async_http/server.h"
 
 #include <arpa/inet.h>
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr absl::Duration kPatience = absl::Seconds(5);
-/// Enough rounds for the loop to take in what lies at its sockets.
+/// Enough rounds for the loop to read all pending bytes.
 constexpr int kSomeRounds = 20;
 
 /// How a client ends its connection.
@@ -58,7 +58,7 @@
     close(socket_);
     socket_ = -1;
   }
-  /// @return all that came so far.
+  /// @return all bytes received so far.
   const std::string& Heard() {
     char bytes[4096];
     for (ssize_t count = 1; count > 0;) {
@@ -93,12 +93,9 @@
   std::unique_ptr<Server> server_;
 };
 
-// Symptom: a request went on to be worked on, and its tokens were charged, after its client had
-// left. Sequence: the client sends its next request, or part of it, before the answer to the
-// present one; then it leaves. Cause: the first early byte ended the watch for the client's end,
-// which was told by readability. What settled it: the same clients without an early byte, whose
-// leaving was always noticed.
-TEST_F(ServerTest, ClientThatSentItsNextRequestEarlyIsStillSeenToLeave) {
+// Guards against missing the disconnect of a client that has pipelined its next request, which
+// would be processed and charged to the end.
+TEST_F(ServerTest, DetectsDisconnectOfPipeliningClient) {
   struct LeavingCase {
     const char* name;
     std::string early;
@@ -142,7 +139,7 @@
     for (int round = 0; round < kSomeRounds; ++round) {
       loop_.RunRound(absl::Milliseconds(1));
     }
-    EXPECT_EQ(gone, 0) << "an early request is no leaving";
+    EXPECT_EQ(gone, 0) << "a pipelined request is not a disconnect";
     client.Leave(test.leaving);
     EXPECT_TRUE(RunUntil([&] { return gone == 1; }));
     left.Notify();
@@ -150,7 +147,7 @@
   }
 }
 
-TEST_F(ServerTest, EarlyRequestsAreAnsweredInTheirOrder) {
+TEST_F(ServerTest, PipelinedRequestsAreAnsweredInOrder) {
   int begun = 0;
   Signal may_answer(loop_.context());
   Serve([&](std::shared_ptr<Exchange> exchange) -> Task<void> {
@@ -174,11 +171,9 @@
   EXPECT_LT(second, client.Heard().find("answer to /3;"));
 }
 
-// Symptom: the answer after one to HEAD began with bytes that belong to no answer.
-// Sequence: HEAD for what is answered as a stream, then any request on the same connection.
-// Cause: the stream's chunks and their end were sent as for GET, but an answer to HEAD ends with
-// its head. What settled it: the same requests answered whole instead of as a stream.
-TEST_F(ServerTest, StreamedAnswerToHeadIsItsHeadAlone) {
+// Guards against sending the chunks of a streamed response to HEAD, which would corrupt the next
+// response on the connection.
+TEST_F(ServerTest, StreamedResponseToHeadIsOnlyItsHeader) {
   Serve([&](std::shared_ptr<Exchange> exchange) -> Task<void> {
     HttpHead head;
     head.result(200);
@@ -195,17 +190,12 @@
   EXPECT_EQ(client.Heard().substr(head_end, 13), "HTTP/1.1 200 ");
 }
 
-// Symptom: a request that may not be repeated ran, and its client got nothing but a close, which
-// tells it that nothing was taken.
-// Sequence: a stopping server closes resting connections just after the bytes of a request have
-// been read, before the reading coroutine has gone on.
-// Cause: the coroutine took the bytes, though its connection had been closed in between.
-// What settled it: the stop at each point of a request's way; at one of them the request ran
-// unanswered.
-// A connection that stays open may still serve what has come, so the answers are counted.
+// Guards against running a request whose connection a stopping server has closed after its bytes
+// were read: the client would take the close to mean that nothing was processed. A connection that
+// stays open may still serve its request, so the responses are counted.
 class ServerStopTest : public ::testing::TestWithParam<bool> {
  protected:
-  /// Stops the server after some handlers of a request's way. @return whether it was answered.
+  /// Stops the server after some handlers have run. @return whether the request got a response.
   static bool AnswersThoughStoppedAfter(int steps, bool kept_connection) {
     wire::EventLoop loop;
     int runs = 0;
@@ -246,15 +236,14 @@
   }
 };
 
-TEST_P(ServerStopTest, RequestWhoseConnectionWasClosedIsNotRun) {
-  constexpr int kMostSteps =
-      24;  // Handlers that run between a connection and its answer: some ten.
+TEST_P(ServerStopTest, RequestOnClosedConnectionIsNotRun) {
+  constexpr int kMostSteps = 24;  // Exceeds the about ten handlers from connecting to the response.
   int answered = 0;
   for (int steps = 0; steps <= kMostSteps; ++steps) {
     SCOPED_TRACE(steps);
     answered += AnswersThoughStoppedAfter(steps, GetParam()) ? 1 : 0;
   }
-  EXPECT_GT(answered, 0) << "no step came after the request was taken";
+  EXPECT_GT(answered, 0) << "the server never stopped after the request was read";
 }
 
 INSTANTIATE_TEST_SUITE_P(Connections, ServerStopTest, ::testing::Bool(),
--- a/tests/wire/codec_test.cc
+++ b/tests/wire/codec_test.cc
@@ -1,4 +1,4 @@
-// Messages as bytes: what is written is read, and bytes that are something else harm nothing.
+// Tests the encoding of messages and the rejection of malformed bytes.
 #include "wire/codec.h"
 
 #include <gtest/gtest.h>
@@ -31,14 +31,14 @@
   return machine;
 }
 
-/// This process's largest memory so far.
+/// Peak resident memory of this process.
 std::size_t PeakResidentBytes() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   return static_cast<std::size_t>(usage.ru_maxrss) << 10U;
 }
 
-/// By how much one decoding raised the process's largest memory, also if it gave it back.
+/// Increase of the peak resident memory during one decoding.
 template <typename Message>
 std::size_t PeakWhileDecoding(const std::string& bytes) {
   std::size_t before = PeakResidentBytes();
@@ -46,7 +46,7 @@
   return PeakResidentBytes() - before;
 }
 
-/// Counts what strings ask for: a reader that trusts a length asks for as much.
+/// Records the largest length that a reader passes on without checking it.
 struct CountedText {
   static inline std::size_t largest = 0;
   std::string text;
@@ -63,8 +63,8 @@
   }
 };
 
-TEST(CodecTest, ReadsWhatCerealsOwnArchiveWrote) {
-  // Records in the store and on disks were written by it.
+TEST(CodecTest, IsCompatibleWithPortableBinaryArchive) {
+  // Existing records in the store and on disk were written by it.
   std::vector<Machine> machines = {SomeMachine(1), SomeMachine(2)};
   std::ostringstream stream(std::ios::binary);
   {
@@ -77,8 +77,8 @@
   EXPECT_EQ(*read, machines);
 }
 
-TEST(CodecTest, LengthBeyondTheMessageIsRefusedBeforeAnythingIsAllocatedForIt) {
-  std::string bytes = Encode(std::uint64_t{3} << 30U);  // A length of 3 GB, and nothing behind it.
+TEST(CodecTest, RejectsLengthBeyondTheMessageBeforeAllocating) {
+  std::string bytes = Encode(std::uint64_t{3} << 30U);  // A length of 3 GiB without any data.
   CountedText::largest = 0;
   EXPECT_FALSE(Decode<CountedText>(bytes));
   EXPECT_EQ(CountedText::largest, 0U);
@@ -87,9 +87,8 @@
   EXPECT_FALSE(Decode<std::vector<std::uint64_t>>(bytes));
 }
 
-TEST(CodecTest, FoundersRecordOfManyGroupsIsNoMachine) {
-  // 36 groups of five voters, read as a machine: the half of an identity stands where a text's
-  // length would.
+TEST(CodecTest, RejectsGroupLayoutDecodedAsMachine) {
+  // 36 groups of five voters, decoded as a machine: half of an id is read as a string's length.
   std::vector<Machine> machines;
   for (std::uint64_t number = 1; number <= 36; ++number) {
     machines.push_back(SomeMachine(number * 0x9E3779B97F4A7C15ULL));
@@ -99,7 +98,7 @@
   EXPECT_LT(PeakWhileDecoding<Machine>(record), std::size_t{16} << 20U);
 }
 
-TEST(CodecTest, TruncatedForeignAndOverlongBytesAreNoMessage) {
+TEST(CodecTest, RejectsTruncatedForeignAndOverlongBytes) {
   Envelope envelope;
   envelope.from = SomeMachine(7);
   envelope.body = turn_ledger::Hello{{SomeMachine(1), SomeMachine(2)}};
@@ -114,7 +113,7 @@
   EXPECT_FALSE(Decode<Envelope>(foreign));
 }
 
-RC_GTEST_PROP(CodecPropertyTest, GarbledMessagesAllocateNoMoreThanInProportion,
+RC_GTEST_PROP(CodecPropertyTest, MalformedMessagesAllocateInProportionToTheirSize,
               (const std::vector<std::uint8_t>& noise)) {
   Envelope envelope;
   envelope.from = SomeMachine(7);
--- a/tests/wire/transport_test.cc
+++ b/tests/wire/transport_test.cc
@@ -1,4 +1,4 @@
-// Frames between peers: what waits is bounded over all peers, and no connection's bytes outlive it.
+// Tests that the send queue is bounded over all peers, and that bytes never cross connections.
 #include "wire/transport.h"
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 namespace martenyard::wire {
 namespace {
 
-/// Listens on loopback and never accepts.
+/// Listens on loopback without accepting connections.
 class DeafPeer {
  public:
   DeafPeer() : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -51,7 +51,7 @@
   return condition();
 }
 
-/// A connection that sends what a test says, whole frames or not.
+/// A connection that sends arbitrary bytes, also incomplete frames.
 class RawPeer {
  public:
   explicit RawPeer(const Endpoint& to) : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -81,7 +81,7 @@
   return std::string(reinterpret_cast<const char*>(&length), sizeof(length)) + payload;
 }
 
-TEST(TransportTest, HalfFrameIsNeverJoinedToAnotherConnectionsBytes) {
+TEST(TransportTest, IncompleteFrameIsNotJoinedWithAnotherConnectionsBytes) {
   EventLoop loop;
   std::vector<std::string> frames;
   Transport transport(
@@ -105,7 +105,7 @@
 
 TEST(TransportTest, UnsentBytesOfABrokenConnectionAreNotSentOnTheNextOne) {
   EventLoop loop;
-  // Between two connections nothing else is watched, and the loop would end.
+  // Keeps the loop running while no connection is open.
   auto guard = boost::asio::make_work_guard(loop.context());
   std::vector<std::string> frames;
   Transport sender(
@@ -115,7 +115,7 @@
   {
     DeafPeer deaf;
     endpoint = deaf.endpoint();
-    // More than the sockets' buffers hold: some of a frame has left, the rest waits.
+    // Exceeds the socket buffers, so that a frame is sent only in part.
     for (int frame = 0; frame < 32; ++frame) {
       sender.SendFrame(endpoint, std::string(std::size_t{1} << 20U, 'o'));
     }
@@ -136,7 +136,7 @@
   EXPECT_EQ(frames.front(), "new");
 }
 
-TEST(TransportTest, WhatWaitsForAllPeersTogetherIsBounded) {
+TEST(TransportTest, UnsentBytesOfAllPeersAreBounded) {
   constexpr std::size_t kLimit = std::size_t{4} << 20U;
   constexpr std::size_t kFrame = std::size_t{1} << 20U;
   EventLoop loop;
