--- a/tests/store/prefix_mirror_test.cc
+++ b/tests/store/prefix_mirror_test.cc
@@ -16,7 +16,7 @@
 namespace martenyard::store {
 namespace {
 
-constexpr absl::Duration kPatience = absl::Seconds(20);
+constexpr absl::Duration kTimeout = absl::Seconds(20);
 
 class PrefixMirrorTest : public ::testing::Test {
  protected:
@@ -30,11 +30,9 @@
         [this](bool reachable, StoreStatus) { reachable_ = reachable; });
   }
 
-  bool RunUntil(const std::function<bool()>& condition) {
-    return RunUntilFor(condition, kPatience);
-  }
-  bool RunUntilFor(const std::function<bool()>& condition, absl::Duration patience) {
-    for (absl::Time end = SteadyNow() + patience; SteadyNow() < end;) {
+  bool RunUntil(const std::function<bool()>& condition) { return RunUntilFor(condition, kTimeout); }
+  bool RunUntilFor(const std::function<bool()>& condition, absl::Duration timeout) {
+    for (absl::Time end = SteadyNow() + timeout; SteadyNow() < end;) {
       if (condition()) {
         return true;
       }
@@ -42,7 +40,7 @@
     }
     return condition();
   }
-  bool Holds(const std::string& key, const std::string& value) {
+  bool HasValue(const std::string& key, const std::string& value) {
     auto found = mirror_->items().find(key);
     return found != mirror_->items().end() && found->second.value == value;
   }
@@ -66,7 +64,7 @@
   stand_in_.Put("p/7", "changed");
   stand_in_.Remove("p/8");
   EXPECT_TRUE(
-      RunUntil([&] { return Holds("p/7", "changed") && !mirror_->items().contains("p/8"); }));
+      RunUntil([&] { return HasValue("p/7", "changed") && !mirror_->items().contains("p/8"); }));
 }
 
 TEST_F(PrefixMirrorTest, UnwatchedMirrorAppliesDeltasOfAPeer) {
@@ -84,7 +82,7 @@
   mirror_delta old = mirror_->ChangesSince(0);
   stand_in_.Put("p/a", "2");
   stand_in_.Remove("p/b");
-  ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "2") && mirror_->items().size() == 1; }));
+  ASSERT_TRUE(RunUntil([&] { return HasValue("p/a", "2") && mirror_->items().size() == 1; }));
   mirror_delta delta = mirror_->ChangesSince(other.last_change());
   EXPECT_FALSE(delta.m_full);
   EXPECT_EQ(delta.m_items.size(), 1U);
@@ -104,18 +102,18 @@
   EXPECT_FALSE(RunUntilFor([&] { return client_->calls() > 0; }, absl::Milliseconds(400)));
   stand_in_.Put("p/a", "1");
   mirror_->SetPaused(false);
-  EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "1"); }));
+  EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", "1"); }));
 }
 
 TEST_F(PrefixMirrorTest, ReportsFailureOfTheFirstCall) {
-  int told = 0;
+  int notifications = 0;
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {},
-      [&](bool reachable, StoreStatus) { told += reachable ? 0 : 1; });
+      [&](bool reachable, StoreStatus) { notifications += reachable ? 0 : 1; });
   stand_in_.faults().down = true;
   other.Start();
   EXPECT_TRUE(RunUntil([&] { return client_->calls() > 2; }));
-  EXPECT_EQ(told, 1) << "once, not at every try";
+  EXPECT_EQ(notifications, 1) << "once, not at each attempt";
 }
 
 TEST_F(PrefixMirrorTest, UnwatchedMirrorStartsNoWatch) {
@@ -165,7 +163,7 @@
   stand_in_.faults().delay = absl::Milliseconds(900);  // Exceeds the initial reply timeout.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Put("p/a", "2");
-  ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "2") && reachable_; }));
+  ASSERT_TRUE(RunUntil([&] { return HasValue("p/a", "2") && reachable_; }));
   EXPECT_FALSE(RunUntilFor([&] { return !reachable_; }, absl::Seconds(4)))
       << "it has learned how slow the store is";
 }
@@ -201,15 +199,15 @@
 }
 
 TEST_F(PrefixMirrorTest, ReportsReachabilityAgainWhenWatchingStarts) {
-  int told = 0;
+  int notifications = 0;
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {},
-      [&](bool reachable, StoreStatus) { told += reachable ? 1 : 0; });
+      [&](bool reachable, StoreStatus) { notifications += reachable ? 1 : 0; });
   other.SetWatching(false);
   other.Start();
-  ASSERT_TRUE(RunUntil([&] { return told == 1; })) << "by its first reading";
+  ASSERT_TRUE(RunUntil([&] { return notifications == 1; })) << "after the first read";
   other.SetWatching(true);
-  EXPECT_TRUE(RunUntilFor([&] { return told == 2; }, absl::Milliseconds(700)))
+  EXPECT_TRUE(RunUntilFor([&] { return notifications == 2; }, absl::Milliseconds(700)))
       << "at once, not when something changes";
 }
 
@@ -225,10 +223,10 @@
   mirror_->SetWatching(false);
   std::uint64_t calls = client_->calls();
   RunUntilFor([&] { return false; }, absl::Milliseconds(1200));
-  EXPECT_LE(client_->calls(), calls + 1) << "a try under way, and no whole reading";
+  EXPECT_LE(client_->calls(), calls + 1) << "at most a pending call, but no full read";
   EXPECT_TRUE(mirror_->complete());
   mirror_->SetWatching(true);
-  EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "2"); }));
+  EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", "2"); }));
 }
 
 TEST_F(PrefixMirrorTest, PeerBehindPrunedRemovalsGetsAFullDelta) {
@@ -264,9 +262,9 @@
   stand_in_.Put("p/a", "2");
   stand_in_.Remove("p/b");
   stand_in_.Compact();
-  EXPECT_EQ(mirror_->items().size(), 2U) << "silence is no removal";
+  EXPECT_EQ(mirror_->items().size(), 2U) << "an unreachable store must not remove keys";
   stand_in_.faults().down = false;
-  EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "2") && mirror_->items().size() == 1; }));
+  EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", "2") && mirror_->items().size() == 1; }));
 }
 
 TEST_F(PrefixMirrorTest, IsUpToDateAfterEachFault) {
@@ -280,7 +278,7 @@
                                    {"lose answers", &emulator::StoreFaults::lose_answers}};
   stand_in_.Put("p/a", "0");
   mirror_->Start();
-  ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "0"); }));
+  ASSERT_TRUE(RunUntil([&] { return HasValue("p/a", "0"); }));
   int version = 0;
   for (const FaultCase& test : kFaults) {
     stand_in_.faults().*test.fault = true;
@@ -289,23 +287,23 @@
     stand_in_.Put("p/a", value);
     RunUntil([&] { return stand_in_.calls() > calls + 1; });
     stand_in_.faults().*test.fault = false;
-    EXPECT_TRUE(RunUntil([&] { return Holds("p/a", value); })) << test.name;
+    EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", value); })) << test.name;
   }
 }
 
 /// A store that replies when the test tells it to.
 class ScriptedStore : public MetadataStore {
  public:
-  template <typename Answer>
+  template <typename Reply>
   struct Pending {
     explicit Pending(async_http::asio::io_context& context) : given(context) {}
-    void Give(Answer value) {
-      answer = std::move(value);
+    void Give(Reply value) {
+      reply = std::move(value);
       given.Notify();
     }
     Revision after = 0;
     async_http::Signal given;
-    std::optional<Answer> answer;
+    std::optional<Reply> reply;
   };
 
   explicit ScriptedStore(async_http::asio::io_context& context) : context_(context) {}
@@ -316,7 +314,7 @@
     return AnswerOf(ranges.back());
   }
   async_http::Task<WatchResult> Watch(std::string /*prefix*/, Revision after,
-                                      absl::Duration /*patience*/) override {
+                                      absl::Duration /*timeout*/) override {
     watches.push_back(std::make_shared<Pending<WatchResult>>(context_));
     watches.back()->after = after;
     return AnswerOf(watches.back());
@@ -332,10 +330,10 @@
  private:
   template <typename Kind>
   static async_http::Task<Kind> AnswerOf(std::shared_ptr<Pending<Kind>> pending) {
-    while (!pending->answer) {
-      co_await pending->given.Wait(kPatience);
+    while (!pending->reply) {
+      co_await pending->given.Wait(kTimeout);
     }
-    co_return *pending->answer;
+    co_return *pending->reply;
   }
 
   async_http::asio::io_context& context_;
@@ -365,7 +363,7 @@
         options);
   }
   bool RunUntil(const std::function<bool()>& condition) {
-    for (absl::Time end = SteadyNow() + kPatience; SteadyNow() < end;) {
+    for (absl::Time end = SteadyNow() + kTimeout; SteadyNow() < end;) {
       if (condition()) {
         return true;
       }
@@ -385,8 +383,8 @@
 
   wire::EventLoop loop_;
   ScriptedStore store_{loop_.context()};
-  std::vector<Mirror>
-      kept_;  ///< Must outlive their coroutines, which run until the loop is destroyed.
+  /// Must outlive their coroutines, which run until the loop is destroyed.
+  std::vector<Mirror> all_mirrors_;
 };
 
 // Guards against a removed key reappearing when a reply from before the removal arrives after a
@@ -394,7 +392,7 @@
 TEST_F(ScriptedMirrorTest, LateReplyDoesNotRestoreARemovedKey) {
   struct LateCase {
     const char* name;
-    std::function<void(PrefixMirror&)> newer_copy_then_late_answer;
+    std::function<void(PrefixMirror&)> newer_state_then_late_reply;
   };
   const StoreChange put{"p/k", "late", 5};
   const LateCase cases[] = {
@@ -407,7 +405,7 @@
          ASSERT_TRUE(RunUntil([&] { return store_.watches.size() == 2; }));
          EXPECT_EQ(store_.watches[1]->after, 9U);
        }},
-      {"a watch after a peer's whole copy",
+      {"a watch after a peer's full delta",
        [&](PrefixMirror& mirror) {
          mirror.ApplyDelta(FullDelta(9, {{"p/a", "1", 2}, {"p/b", "1", 9}}));
          store_.watches[0]->Give(Watched(5, {put}));
@@ -432,8 +430,8 @@
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror* mirror = &kept_.emplace_back(StartedMirror());
-    test.newer_copy_then_late_answer(**mirror);
+    Mirror* mirror = &all_mirrors_.emplace_back(StartedMirror());
+    test.newer_state_then_late_reply(**mirror);
     EXPECT_FALSE((*mirror)->items().contains("p/k"));
     EXPECT_TRUE((*mirror)->items().contains("p/a"));
   }
@@ -458,7 +456,7 @@
          store_.watches[1]->Give(Watched(13, {{"p/b", "1", 13}}));
          ASSERT_TRUE(RunUntil([&] { return store_.watches.size() == 3; }));
        }},
-      {"by a peer's whole copy",
+      {"by a peer's full delta",
        [&](PrefixMirror& mirror) {
          mirror.ApplyDelta(FullDelta(13, {{"p/a", "1", 2}, {"p/b", "1", 13}}));
        }},
@@ -467,7 +465,7 @@
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror* sender = &kept_.emplace_back(StartedMirror());
+    Mirror* sender = &all_mirrors_.emplace_back(StartedMirror());
     Mirror requester = MakeMirror();
     requester->ApplyDelta(FullDelta(10, {{"p/a", "1", 2}, {"p/k", "1", 5}, {"p/c", "1", 10}}));
     test.replace(**sender);
@@ -481,7 +479,7 @@
 // Guards against a restarted process taking a partial delta, meant for its predecessor at the same
 // address, for the complete state.
 TEST_F(ScriptedMirrorTest, PartialDeltaForAnEarlierProcessIsIgnored) {
-  const mirror_delta since_20{21, false, {{"p/new", "1", 21}}, {{"p/old", 21}}};
+  const mirror_delta delta_since_20{21, false, {{"p/new", "1", 21}}, {{"p/old", 21}}};
   struct StartCase {
     const char* name;
     bool has_read;
@@ -491,14 +489,14 @@
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror& mirror = kept_.emplace_back(MakeMirror());
+    Mirror& mirror = all_mirrors_.emplace_back(MakeMirror());
     if (test.has_read) {
       mirror->Start();
       ASSERT_TRUE(RunUntil([&] { return store_.ranges.size() == 1; }));
       store_.ranges[0]->Give(Reading(3, {}));
       ASSERT_TRUE(RunUntil([&] { return mirror->complete(); }));
     }
-    mirror->ApplyDelta(since_20);
+    mirror->ApplyDelta(delta_since_20);
     EXPECT_EQ(mirror->complete(), test.has_read);
     EXPECT_EQ(mirror->last_change(), 0U) << "it asks again, from the beginning";
     EXPECT_TRUE(mirror->items().empty());
--- a/tests/store/store_outage_test.cc
+++ b/tests/store/store_outage_test.cc
@@ -56,7 +56,7 @@
     {"open connections are reset", [](auto& store) { store.ResetWaiting(); }, [](auto&) {}},
     Faulty("unavailable", &emulator::StoreFaults::down),
     Faulty("throttled", &emulator::StoreFaults::throttle),
-    Faulty("answers are lost", &emulator::StoreFaults::lose_answers),
+    Faulty("replies are lost", &emulator::StoreFaults::lose_answers),
     Faulty("garbled", &emulator::StoreFaults::garble),
     {"slow", [](auto& store) { store.faults().delay = absl::Milliseconds(350); },
      [](auto& store) { store.faults().delay = absl::ZeroDuration(); }},
