--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -210,7 +210,7 @@
 Result<void> GatewayRole::Start() {
   BOOST_LEAF_AUTO(bound, transport_.Listen({settings_.address, settings_.internal_port}));
   settings_.internal_port = bound.port;
-  transport_.LimitUnsent(settings_.memory_bytes / kFrameMemoryDivisor);
+  transport_.SetUnsentLimit(settings_.memory_bytes / kFrameMemoryDivisor);
   frontend_.limits().buffered_body_bytes = settings_.memory_bytes / kBodyMemoryDivisor;
   frontend_.limits().connections = settings_.max_descriptors > 2 * kReservedDescriptors
                                        ? settings_.max_descriptors - kReservedDescriptors
--- a/src/roles/ledger_role.cc
+++ b/src/roles/ledger_role.cc
@@ -134,7 +134,7 @@
 Result<void> LedgerRole::Start() {
   BOOST_LEAF_AUTO(bound, transport_.Listen({settings_.address, settings_.internal_port}));
   settings_.internal_port = bound.port;
-  transport_.LimitUnsent(settings_.memory_bytes / kFrameMemoryDivisor);
+  transport_.SetUnsentLimit(settings_.memory_bytes / kFrameMemoryDivisor);
   OpenDisk();
   persisted_mirrors_.start();
   directory_.Start();
--- a/src/roles/peers/peer_link.cc
+++ b/src/roles/peers/peer_link.cc
@@ -47,7 +47,7 @@
     std::optional<Layout> reads = m_layouts.of(to);
     if (needs_greeting)
     {
-        send_greeting(to, /*wants_answer=*/true);
+        send_greeting(to, /*wants_reply=*/true);
         send_probes(to);
     }
     if (reads)
@@ -129,11 +129,11 @@
     }
 }
 
-void peer_link::send_greeting(const wire::Endpoint& to, bool wants_answer)
+void peer_link::send_greeting(const wire::Endpoint& to, bool wants_reply)
 {
     ++m_stats.m_greetings_sent;
     turn_ledger::Machine self = m_self();
-    m_transport.SendFrame(to, wire::EncodeGreeting({self.endpoint, self.name, BuildName(), wants_answer}));
+    m_transport.SendFrame(to, wire::EncodeGreeting({self.endpoint, self.name, BuildName(), wants_reply}));
 }
 
 void peer_link::send_probes(const wire::Endpoint& to)
@@ -193,9 +193,9 @@
                         .Number("newest", newest));
     }
     on_frame_received(greeting.from, greeting.node, turn_ledger::common_layout(newest));
-    if (greeting.wants_answer)
+    if (greeting.wants_reply)
     {
-        send_greeting(greeting.from, /*wants_answer=*/false);
+        send_greeting(greeting.from, /*wants_reply=*/false);
     }
 }
 
--- a/src/roles/peers/peer_link.h
+++ b/src/roles/peers/peer_link.h
@@ -93,7 +93,7 @@
 
     void send(const wire::Endpoint& to, turn_ledger::Body body, wire::Layout layout);
     void send_request_in_layout(const wire::Endpoint& to, turn_ledger::Body request, wire::Layout layout);
-    void send_greeting(const wire::Endpoint& to, bool wants_answer);
+    void send_greeting(const wire::Endpoint& to, bool wants_reply);
     void send_probes(const wire::Endpoint& to);
     void on_greeting(const wire::Greeting& greeting, std::uint16_t newest);
     void on_frame_received(const wire::Endpoint& from, const std::string& name,
--- a/src/turn_ledger/frames/frame_codec.cc
+++ b/src/turn_ledger/frames/frame_codec.cc
@@ -22,7 +22,7 @@
 {
     unreadable_frame unreadable_message{mark.layout, mark.newest, {}};
     // Every message begins with its sender, in the same format in all layouts.
-    if (auto from = wire::DecodeBeginning<Machine>(message))
+    if (auto from = wire::DecodePrefix<Machine>(message))
     {
         unreadable_message.m_from = from->name;
     }
--- a/src/wire/codec.h
+++ b/src/wire/codec.h
@@ -44,7 +44,7 @@
 
 /// @return the message at the start of `bytes`, ignoring the rest, or nullopt if malformed.
 template <typename Message>
-std::optional<Message> DecodeBeginning(absl::string_view bytes) {
+std::optional<Message> DecodePrefix(absl::string_view bytes) {
   try {
     BytesInputArchive archive(bytes);
     Message message;
--- a/src/wire/frame_cutter.cc
+++ b/src/wire/frame_parser.cc
@@ -1,4 +1,4 @@
-#include "wire/frame_cutter.h"
+#include "wire/frame_parser.h"
 
 #include <arpa/inet.h>
 
@@ -18,24 +18,24 @@
   bytes.append(payload.data(), payload.size());
 }
 
-bool FrameCutter::Feed(absl::string_view bytes,
+bool FrameParser::Feed(absl::string_view bytes,
                        const std::function<void(std::string payload)>& on_frame) {
-  received_.append(bytes.data(), bytes.size());
+  buffer_.append(bytes.data(), bytes.size());
   std::size_t position = 0;
-  while (received_.size() - position >= kLengthBytes) {
+  while (buffer_.size() - position >= kLengthBytes) {
     std::uint32_t length = 0;
-    std::memcpy(&length, received_.data() + position, kLengthBytes);
+    std::memcpy(&length, buffer_.data() + position, kLengthBytes);
     length = ntohl(length);
-    if (length > kMostFrameBytes) {
+    if (length > kMaxFrameBytes) {
       return false;
     }
-    if (received_.size() - position - kLengthBytes < length) {
+    if (buffer_.size() - position - kLengthBytes < length) {
       break;
     }
-    on_frame(received_.substr(position + kLengthBytes, length));
+    on_frame(buffer_.substr(position + kLengthBytes, length));
     position += kLengthBytes + length;
   }
-  received_.erase(0, position);
+  buffer_.erase(0, position);
   return true;
 }
 
--- a/src/wire/frame_cutter.h
+++ b/src/wire/frame_parser.h
@@ -10,21 +10,21 @@
 namespace martenyard::wire {
 
 /// Maximum payload size, so that a corrupt length can't make the receiver buffer without bound.
-inline constexpr std::size_t kMostFrameBytes = std::size_t{64} << 20U;
+inline constexpr std::size_t kMaxFrameBytes = std::size_t{64} << 20U;
 
 void AppendFrame(std::string& bytes, absl::string_view payload);
 
 /// Splits the bytes of one connection into frames. Not to be reused for another connection.
-class FrameCutter {
+class FrameParser {
  public:
   /// Accepts bytes in chunks of any size.
   /// @return false if a length exceeds the maximum; the connection has to be closed then.
   bool Feed(absl::string_view bytes, const std::function<void(std::string payload)>& on_frame);
   /// @return number of buffered bytes of an incomplete frame.
-  std::size_t unfinished() const { return received_.size(); }
+  std::size_t buffered_bytes() const { return buffer_.size(); }
 
  private:
-  std::string received_;
+  std::string buffer_;
 };
 
 }  // namespace martenyard::wire
--- a/src/wire/marked_frame.cc
+++ b/src/wire/marked_frame.cc
@@ -41,7 +41,7 @@
 }
 
 std::optional<Greeting> DecodeGreeting(absl::string_view message) {
-  return DecodeBeginning<Greeting>(message);
+  return DecodePrefix<Greeting>(message);
 }
 
 }  // namespace martenyard::wire
--- a/src/wire/marked_frame.h
+++ b/src/wire/marked_frame.h
@@ -28,11 +28,11 @@
   Endpoint from;
   std::string node;
   std::string build;
-  bool wants_answer = false;
+  bool wants_reply = false;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(from, node, build, wants_answer);
+    archive(from, node, build, wants_reply);
   }
 };
 
--- a/src/wire/transport.cc
+++ b/src/wire/transport.cc
@@ -17,15 +17,15 @@
 namespace martenyard::wire {
 namespace {
 
-/// Default limit, see `LimitUnsent`.
-constexpr std::size_t kMostUnsentBytes = std::size_t{128} << 20;
+/// Default limit, see `SetUnsentLimit`.
+constexpr std::size_t kDefaultMaxUnsentBytes = std::size_t{128} << 20;
 constexpr std::size_t kReadBytes = std::size_t{64} << 10;
 constexpr int kBacklog = 512;
 constexpr int kBindAttempts = 20;
 /// Detects a network partition: the connection fails if sent data isn't acknowledged in this time.
 constexpr unsigned kUserTimeoutMilliseconds = 1000;
 /// A refused connection is reported only if the attempt is not older than this.
-constexpr absl::Duration kDeathCheckLifetime = absl::Milliseconds(200);
+constexpr absl::Duration kMaxDownReportAge = absl::Milliseconds(200);
 
 sockaddr_in SocketAddress(const Endpoint& endpoint) {
   sockaddr_in address{};
@@ -50,12 +50,12 @@
 }  // namespace
 
 Transport::Transport(EventLoop& loop, PayloadHandler on_frame, PayloadHandler on_datagram,
-                     DeadHandler on_dead)
+                     PeerDownHandler on_peer_down)
     : loop_(loop),
       on_frame_(std::move(on_frame)),
       on_datagram_(std::move(on_datagram)),
-      on_dead_(std::move(on_dead)),
-      most_unsent_(kMostUnsentBytes),
+      on_peer_down_(std::move(on_peer_down)),
+      max_unsent_(kDefaultMaxUnsentBytes),
       read_buffer_(kReadBytes) {}
 
 Transport::~Transport() {
@@ -130,7 +130,7 @@
     stats_.bytes_received += static_cast<std::uint64_t>(count);
     absl::string_view bytes(read_buffer_.data(), static_cast<std::size_t>(count));
     healthy = connection.received.Feed(bytes, on_frame_);
-    stats_.streams_refused += healthy ? 0 : 1;
+    stats_.streams_rejected += healthy ? 0 : 1;
   }
   if (!healthy) {
     loop_.Unwatch(socket);
@@ -183,7 +183,7 @@
     return;
   }
   Connection& connection = *peers_[peer];
-  if (unsent_ + payload.size() > most_unsent_) {
+  if (unsent_ + payload.size() > max_unsent_) {
     ++stats_.frames_dropped;
     return;
   }
@@ -242,29 +242,29 @@
   socklen_t size = sizeof(failure);
   getsockopt(connection.socket, SOL_SOCKET, SO_ERROR, &failure, &size);
   bool established = !connection.connecting;
-  bool checks_death = connection.checks_death;
+  bool checks_peer_down = connection.checks_peer_down;
   absl::Time checked_at = connection.opened_at;
   ClosePeer(peer);
   if (established) {
     // The process may have ended or only closed this connection: reconnect to find out.
     if (Connect(peer)) {
-      peers_[peer]->checks_death = true;
+      peers_[peer]->checks_peer_down = true;
     } else if (errno == ECONNREFUSED) {
-      ReportDead(peer, SteadyNow());
+      ReportPeerDown(peer, SteadyNow());
     }
     return;
   }
-  if (checks_death && failure == ECONNREFUSED) {
-    ReportDead(peer, checked_at);
+  if (checks_peer_down && failure == ECONNREFUSED) {
+    ReportPeerDown(peer, checked_at);
   }
 }
 
-void Transport::ReportDead(const Endpoint& peer, absl::Time checked_at) {
+void Transport::ReportPeerDown(const Endpoint& peer, absl::Time checked_at) {
   // Deferred, since this may run within a call to `SendFrame`.
   loop_.Post([this, peer, checked_at] {
     // If this process was suspended since the check, the peer may have restarted.
-    if (SteadyNow() - checked_at < kDeathCheckLifetime) {
-      on_dead_(peer, checked_at);
+    if (SteadyNow() - checked_at < kMaxDownReportAge) {
+      on_peer_down_(peer, checked_at);
     }
   });
 }
--- a/src/wire/transport.h
+++ b/src/wire/transport.h
@@ -12,7 +12,7 @@
 #include "base/errors.h"
 #include "wire/endpoint.h"
 #include "wire/event_loop.h"
-#include "wire/frame_cutter.h"
+#include "wire/frame_parser.h"
 
 namespace martenyard::wire {
 
@@ -26,7 +26,7 @@
   std::uint64_t bytes_sent = 0;
   std::uint64_t bytes_received = 0;
   std::uint64_t frames_dropped = 0;
-  std::uint64_t streams_refused = 0;  ///< Connections closed because of malformed frames.
+  std::uint64_t streams_rejected = 0;  ///< Connections closed because of malformed frames.
 };
 
 /// Not thread-safe: for the event loop's thread only.
@@ -36,13 +36,13 @@
   using PayloadHandler = std::function<void(std::string payload)>;
 
   /// Called when a connection to a peer was lost and reconnecting was refused.
-  using DeadHandler = std::function<void(const Endpoint& peer, absl::Time checked_at)>;
+  using PeerDownHandler = std::function<void(const Endpoint& peer, absl::Time checked_at)>;
 
   /// Called when the connection to a peer was closed; the next frame opens a new one.
   using ClosedHandler = std::function<void(const Endpoint& peer)>;
 
   Transport(EventLoop& loop, PayloadHandler on_frame, PayloadHandler on_datagram,
-            DeadHandler on_dead);
+            PeerDownHandler on_peer_down);
   ~Transport();
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
@@ -56,7 +56,7 @@
   /// @return number of bytes queued for the peer.
   std::size_t Unsent(const Endpoint& peer) const;
   /// Limits the bytes queued for all peers together; frames beyond are dropped.
-  void LimitUnsent(std::size_t bytes) { most_unsent_ = bytes; }
+  void SetUnsentLimit(std::size_t bytes) { max_unsent_ = bytes; }
   /// @return number of bytes queued for all peers.
   std::size_t unsent() const { return unsent_; }
   const TransportStats& stats() const { return stats_; }
@@ -65,10 +65,10 @@
   struct Connection {
     int socket = -1;
     bool connecting = false;
-    bool checks_death = false;  ///< Opened only to check a peer whose connection was lost.
+    bool checks_peer_down = false;  ///< Opened only to check a peer whose connection was lost.
     absl::Time opened_at;
     std::string unsent;
-    FrameCutter received;
+    FrameParser received;
   };
 
   void AcceptAll();
@@ -79,20 +79,20 @@
   void ClosePeer(const Endpoint& peer);
   /// @return false with errno set if connecting failed immediately.
   bool Connect(const Endpoint& peer);
-  void ReportDead(const Endpoint& peer, absl::Time checked_at);
+  void ReportPeerDown(const Endpoint& peer, absl::Time checked_at);
   void OnBroken(const Endpoint& peer);
 
   EventLoop& loop_;
   PayloadHandler on_frame_;
   PayloadHandler on_datagram_;
-  DeadHandler on_dead_;
+  PeerDownHandler on_peer_down_;
   ClosedHandler on_closed_;
   int listener_ = -1;
   int datagrams_ = -1;
   std::map<int, std::unique_ptr<Connection>> accepted_;
   std::map<Endpoint, std::unique_ptr<Connection>> peers_;
   std::size_t unsent_ = 0;         ///< Sum over `peers_`.
-  std::size_t most_unsent_ = 0;    ///< See `LimitUnsent`.
+  std::size_t max_unsent_ = 0;     ///< See `SetUnsentLimit`.
   std::vector<char> read_buffer_;  // Shared by all reads.
   TransportStats stats_;
 };
--- a/tests/fuzz/wire_targets.cc
+++ b/tests/fuzz/wire_targets.cc
@@ -11,7 +11,7 @@
 #include "turn_ledger/messages.h"
 #include "turn_ledger/turn_state.h"
 #include "wire/codec.h"
-#include "wire/frame_cutter.h"
+#include "wire/frame_parser.h"
 
 namespace martenyard::fuzz {
 namespace {
@@ -112,14 +112,14 @@
 /// The same frames must come of the same bytes, however they arrive.
 bool CutFrames(const std::string& input) {
   auto cut = [&](std::size_t piece) {
-    wire::FrameCutter cutter;
+    wire::FrameParser parser;
     std::pair<bool, std::vector<std::string>> result{true, {}};
     for (std::size_t at = 0; at < input.size() && result.first; at += piece) {
       result.first =
-          cutter.Feed(absl::string_view(input).substr(at, piece),
+          parser.Feed(absl::string_view(input).substr(at, piece),
                       [&](std::string frame) { result.second.push_back(std::move(frame)); });
     }
-    EXPECT_LE(cutter.unfinished(), input.size());
+    EXPECT_LE(parser.buffered_bytes(), input.size());
     return result;
   };
   auto whole = cut(std::max<std::size_t>(1, input.size()));
--- a/tests/turn_ledger/frames/frame_codec_test.cc
+++ b/tests/turn_ledger/frames/frame_codec_test.cc
@@ -49,7 +49,7 @@
     ASSERT_NE(greeted, nullptr);
     EXPECT_EQ(greeted->m_greeting.from, greeting.from);
     EXPECT_EQ(greeted->m_greeting.build, "later");
-    EXPECT_TRUE(greeted->m_greeting.wants_answer);
+    EXPECT_TRUE(greeted->m_greeting.wants_reply);
     EXPECT_EQ(greeted->m_newest, newest + 4);
     EXPECT_EQ(common_layout(greeted->m_newest), wire::kNewestLayout);
 }
--- a/tests/wire/transport_test.cc
+++ b/tests/wire/transport_test.cc
@@ -143,7 +143,7 @@
   Transport transport(
       loop, [](const std::string&) {}, [](const std::string&) {},
       [](const Endpoint&, absl::Time) {});
-  transport.LimitUnsent(kLimit);
+  transport.SetUnsentLimit(kLimit);
   std::vector<DeafPeer> peers(8);
   std::string payload(kFrame, 'x');
   std::size_t most = 0;
