--- a/src/async_http/connection.cc
+++ b/src/async_http/connection.cc
@@ -68,7 +68,7 @@
   co_return !error;
 }
 
-void Connection::BeginAnswer(bool head_request) {
+void Connection::BeginResponse(bool head_request) {
   any_sent_ = false;
   ended_by_close_ = false;
   ++uses_;
@@ -111,7 +111,7 @@
       continue;
     }
     if (parser_->is_done()) {
-      NoteKeepAlive();
+      ParseKeepAlive();
       co_return ReadStep::kWhole;
     }
     if (parsed && (!head_only || parser_->is_header_done())) {
@@ -138,7 +138,7 @@
   }
 }
 
-void Connection::NoteKeepAlive() {
+void Connection::ParseKeepAlive() {
   auto field = parser_->get().find(http::field::keep_alive);
   if (field == parser_->get().end()) {
     return;
@@ -148,7 +148,7 @@
     item = absl::StripAsciiWhitespace(item);
     int seconds = 0;
     if (absl::ConsumePrefix(&item, "timeout=") && absl::SimpleAtoi(item, &seconds)) {
-      peer_keeps_ = absl::Seconds(seconds);
+      keep_alive_timeout_ = absl::Seconds(seconds);
     }
   }
 }
--- a/src/async_http/connection.h
+++ b/src/async_http/connection.h
@@ -36,7 +36,7 @@
   Task<bool> Send(absl::string_view bytes);
   /// Starts reading the next response; interim (1xx) responses are skipped.
   /// @param head_request whether the request is HEAD, whose response has no body.
-  void BeginAnswer(bool head_request);
+  void BeginResponse(bool head_request);
   /// Reads at least until the header is complete.
   Task<ReadStep> ReadHead();
   /// Reads a part of the body into the parser's body.
@@ -58,13 +58,13 @@
   absl::Time idle_since() const { return idle_since_; }
   void set_idle_since(absl::Time when) { idle_since_ = when; }
   /// Keep-alive timeout announced by the peer; infinite if none.
-  absl::Duration peer_keeps() const { return peer_keeps_; }
+  absl::Duration keep_alive_timeout() const { return keep_alive_timeout_; }
   std::uint64_t uses() const { return uses_; }
 
  private:
   void StartParser();
   Task<ReadStep> Parse(bool head_only);
-  void NoteKeepAlive();
+  void ParseKeepAlive();
 
   Socket socket_;
   wire::Endpoint peer_;
@@ -74,7 +74,7 @@
   bool any_sent_ = false;
   bool ended_by_close_ = false;
   absl::Time idle_since_;
-  absl::Duration peer_keeps_ = absl::InfiniteDuration();
+  absl::Duration keep_alive_timeout_ = absl::InfiniteDuration();
   std::uint64_t uses_ = 0;
 };
 
--- a/src/async_http/server.cc
+++ b/src/async_http/server.cc
@@ -36,7 +36,7 @@
 constexpr absl::Duration kAcceptPause = absl::Milliseconds(20);
 /// Interval of polling a client with a pipelined request for its disconnect: unread bytes keep the
 /// socket readable, so readability can't signal it.
-constexpr absl::Duration kEarlyClientLook = absl::Milliseconds(50);
+constexpr absl::Duration kDisconnectPollInterval = absl::Milliseconds(50);
 
 using RequestParser = http::request_parser<http::string_body>;
 
@@ -68,7 +68,7 @@
   ServerLimits limits;
   ServerStats stats;
   bool draining = false;
-  bool asks_to_close = false;
+  bool requests_close = false;
   std::set<ServerConnection*> connections;
 };
 
@@ -99,36 +99,36 @@
   bool draining() const { return shared_->draining; }
 
  private:
-  enum class ReadEnd { kWhole, kClosed, kAnswered };
+  enum class ReadOutcome { kComplete, kClosed, kAnswered };
 
-  Task<ReadEnd> ReadRequest(Exchange& exchange);
-  Task<bool> FillBuffer(absl::Duration patience);
-  Task<ReadEnd> Refuse(unsigned status, absl::string_view reason);
+  Task<ReadOutcome> ReadRequest(Exchange& exchange);
+  Task<bool> FillBuffer(absl::Duration timeout);
+  Task<ReadOutcome> Reject(unsigned status, absl::string_view reason);
   bool ReserveBody(std::uint64_t bytes);
   void ReleaseBody();
   void OnReadable();
   void ArmWatch();
   /// Schedules a check for the disconnect of a client with unread bytes.
-  void LookLater();
-  void LookForEnd();
+  void ScheduleDisconnectCheck();
+  void CheckDisconnect();
 
   std::shared_ptr<Server::Shared> shared_;
   Socket socket_;
   boost::beast::flat_buffer buffer_;
   std::weak_ptr<Exchange> watched_;
   bool watch_armed_ = false;
-  std::unique_ptr<Alarm> look_;  // For the current exchange only.
+  std::unique_ptr<Alarm> disconnect_check_;  // For the current exchange only.
   bool keep_open_ = true;
-  bool rests_ = false;  // No byte of the next request has been read.
+  bool idle_ = false;  // No byte of the next request has been read.
   std::uint64_t reserved_body_ = 0;
   const HttpRequest* current_ = nullptr;
 };
 
 // ---- Reading ----
 
-Task<bool> ServerConnection::FillBuffer(absl::Duration patience) {
+Task<bool> ServerConnection::FillBuffer(absl::Duration timeout) {
   std::weak_ptr<ServerConnection> self = weak_from_this();
-  Alarm alarm(shared_->context, patience, [self] {
+  Alarm alarm(shared_->context, timeout, [self] {
     if (auto present = self.lock()) {
       present->Close();
     }
@@ -149,7 +149,7 @@
   }
   std::uint64_t more = bytes - reserved_body_;
   if (stats.buffered_body_bytes + more > shared_->limits.buffered_body_bytes) {
-    ++stats.refused_bodies;
+    ++stats.rejected_bodies;
     return false;
   }
   stats.buffered_body_bytes += more;
@@ -162,24 +162,24 @@
   reserved_body_ = 0;
 }
 
-Task<ServerConnection::ReadEnd> ServerConnection::Refuse(unsigned status,
-                                                         absl::string_view reason) {
+Task<ServerConnection::ReadOutcome> ServerConnection::Reject(unsigned status,
+                                                             absl::string_view reason) {
   std::string retry =
       status == 503 ? absl::StrCat("Retry-After: ", kOverloadRetryAfter, "\r\n") : std::string();
   std::string body = absl::StrCat("{\"error\":\"", reason, "\"}");
   co_await SendBytes(absl::StrCat("HTTP/1.1 ", status, " ", reason, "\r\n", retry,
                                   "Content-Type: application/json\r\nConnection: close\r\n",
                                   "Content-Length: ", body.size(), "\r\n\r\n", body));
-  co_return ReadEnd::kAnswered;
+  co_return ReadOutcome::kAnswered;
 }
 
-Task<ServerConnection::ReadEnd> ServerConnection::ReadRequest(Exchange& exchange) {
+Task<ServerConnection::ReadOutcome> ServerConnection::ReadRequest(Exchange& exchange) {
   const ServerLimits& limits = shared_->limits;
-  rests_ = buffer_.size() == 0;
-  if (rests_ && !co_await FillBuffer(limits.idle_timeout)) {
-    co_return ReadEnd::kClosed;
+  idle_ = buffer_.size() == 0;
+  if (idle_ && !co_await FillBuffer(limits.idle_timeout)) {
+    co_return ReadOutcome::kClosed;
   }
-  rests_ = false;
+  idle_ = false;
   RequestParser parser;
   // Not eager until the header is complete, to keep it apart from the trailer of a chunked body.
   parser.eager(false);
@@ -195,11 +195,11 @@
     if (error == http::error::need_more) {
       error = {};
     } else if (error == http::error::header_limit) {
-      co_return co_await Refuse(431, "Request Header Fields Too Large");
+      co_return co_await Reject(431, "Request Header Fields Too Large");
     } else if (error == http::error::body_limit) {
-      co_return co_await Refuse(413, "Payload Too Large");
+      co_return co_await Reject(413, "Payload Too Large");
     } else if (error) {
-      co_return co_await Refuse(400, "Bad Request");
+      co_return co_await Reject(400, "Bad Request");
     }
     if (parser.is_header_done() && !parser.eager()) {
       parser.eager(true);
@@ -213,7 +213,7 @@
     if (parser.is_header_done()) {
       std::uint64_t expected = parser.content_length().value_or(parser.get().body().size());
       if (!ReserveBody(expected)) {
-        co_return co_await Refuse(503, "Service Unavailable");
+        co_return co_await Reject(503, "Service Unavailable");
       }
       auto expectation = parser.get().find(http::field::expect);
       if (!continue_sent && expectation != parser.get().end()) {
@@ -227,10 +227,10 @@
     absl::Duration allowed =
         parser.is_header_done() ? limits.body_timeout : began + limits.header_timeout - SteadyNow();
     if (allowed <= absl::ZeroDuration()) {
-      co_return co_await Refuse(408, "Request Timeout");
+      co_return co_await Reject(408, "Request Timeout");
     }
     if (!co_await FillBuffer(allowed)) {
-      co_return ReadEnd::kClosed;
+      co_return ReadOutcome::kClosed;
     }
   }
   keep_open_ = parser.keep_alive();
@@ -241,15 +241,15 @@
     exchange.request_.base() = std::move(*header);
   }
   exchange.received_at_ = SteadyNow();
-  co_return ReadEnd::kWhole;
+  co_return ReadOutcome::kComplete;
 }
 
 Task<void> ServerConnection::Run() {
   auto self = shared_from_this();
   while (socket_.is_open()) {
     auto exchange = std::make_shared<Exchange>(*this);
-    ReadEnd end = co_await ReadRequest(*exchange);
-    if (end != ReadEnd::kWhole) {
+    ReadOutcome end = co_await ReadRequest(*exchange);
+    if (end != ReadOutcome::kComplete) {
       ReleaseBody();
       break;
     }
@@ -261,7 +261,7 @@
     current_ = nullptr;
     exchange->ClearOnClientGone();
     watched_.reset();
-    look_.reset();
+    disconnect_check_.reset();
     ReleaseBody();
     if (exchange->broken_ || !exchange->answered_ || !keep_open_) {
       break;
@@ -307,26 +307,26 @@
   char byte = 0;
   ssize_t count = recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count > 0) {
-    LookLater();  // Pipelined request; read after the current response.
+    ScheduleDisconnectCheck();  // Pipelined request; read after the current response.
     return;
   }
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
     ArmWatch();
     return;
   }
-  exchange->NoteClientGone();
+  exchange->HandleDisconnect();
 }
 
-void ServerConnection::LookLater() {
+void ServerConnection::ScheduleDisconnectCheck() {
   std::weak_ptr<ServerConnection> self = weak_from_this();
-  look_ = std::make_unique<Alarm>(shared_->context, kEarlyClientLook, [self] {
+  disconnect_check_ = std::make_unique<Alarm>(shared_->context, kDisconnectPollInterval, [self] {
     if (auto present = self.lock()) {
-      present->LookForEnd();
+      present->CheckDisconnect();
     }
   });
 }
 
-void ServerConnection::LookForEnd() {
+void ServerConnection::CheckDisconnect() {
   auto exchange = watched_.lock();
   if (!exchange || !socket_.is_open()) {
     return;
@@ -334,10 +334,10 @@
   pollfd query{socket_.native_handle(), POLLRDHUP, 0};
   bool ended = poll(&query, 1, 0) > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   if (ended) {
-    exchange->NoteClientGone();
+    exchange->HandleDisconnect();
     return;
   }
-  LookLater();
+  ScheduleDisconnectCheck();
 }
 
 // ---- Writing ----
@@ -361,7 +361,7 @@
 }
 
 void ServerConnection::CloseIfIdle() {
-  if (!rests_ || !socket_.is_open()) {
+  if (!idle_ || !socket_.is_open()) {
     return;
   }
   char byte = 0;
@@ -372,7 +372,7 @@
 }
 
 std::string ServerConnection::ConnectionFields(bool* closes) const {
-  *closes = !keep_open_ || shared_->draining || shared_->asks_to_close;
+  *closes = !keep_open_ || shared_->draining || shared_->requests_close;
   if (*closes) {
     return "Connection: close\r\n";
   }
@@ -380,7 +380,7 @@
   return absl::StrCat("Connection: keep-alive\r\nKeep-Alive: timeout=", seconds, "\r\n");
 }
 
-void Exchange::NoteClientGone() {
+void Exchange::HandleDisconnect() {
   client_gone_ = true;
   if (on_gone_) {
     std::function<void()> on_gone = std::move(on_gone_);
@@ -515,7 +515,7 @@
 std::uint16_t Server::port() const { return shared_->acceptor.local_endpoint().port(); }
 void Server::BeginDrain() { shared_->draining = true; }
 
-void Server::AskToClose(bool ask) { shared_->asks_to_close = ask; }
+void Server::AskToClose(bool ask) { shared_->requests_close = ask; }
 
 void Server::CloseIdle() {
   error_code ignored;
--- a/src/async_http/server.h
+++ b/src/async_http/server.h
@@ -71,7 +71,7 @@
  private:
   friend class ServerConnection;
 
-  void NoteClientGone();
+  void HandleDisconnect();
 
   ServerConnection& connection_;
   HttpRequest request_;
@@ -91,7 +91,7 @@
   std::size_t open_connections = 0;
   std::size_t active_exchanges = 0;
   std::uint64_t buffered_body_bytes = 0;
-  std::uint64_t refused_bodies = 0;
+  std::uint64_t rejected_bodies = 0;
 };
 
 /// Listens on one endpoint. Not thread-safe: for the event loop's thread only. Coroutines of its
--- a/src/async_http/task.cc
+++ b/src/async_http/task.cc
@@ -27,8 +27,8 @@
   }
 }
 
-Task<bool> Signal::Wait(absl::Duration patience) {
-  asio::steady_timer timer(context_, absl::ToChronoNanoseconds(patience));
+Task<bool> Signal::Wait(absl::Duration timeout) {
+  asio::steady_timer timer(context_, absl::ToChronoNanoseconds(timeout));
   waiting_.insert(&timer);
   auto [error] = co_await timer.async_wait(kAwait);
   waiting_.erase(&timer);
--- a/src/async_http/task.h
+++ b/src/async_http/task.h
@@ -55,8 +55,8 @@
   explicit Signal(asio::io_context& context) : context_(context) {}
   /// Wakes all waiting coroutines.
   void Notify();
-  /// @return whether `Notify` was called within `patience`.
-  Task<bool> Wait(absl::Duration patience);
+  /// @return whether `Notify` was called within `timeout`.
+  Task<bool> Wait(absl::Duration timeout);
 
  private:
   asio::io_context& context_;
--- a/src/forwarding/attempt.cc
+++ b/src/forwarding/attempt.cc
@@ -133,7 +133,7 @@
 }
 
 Task<bool> Attempt::SendRequest() {
-  connection_->BeginAnswer(plan_.head_request);
+  connection_->BeginResponse(plan_.head_request);
   bool small = plan_.head.size() + plan_.body->size() <= kInlineSendBytes;
   if (small) {
     std::string whole = plan_.head + *plan_.body;
@@ -201,7 +201,7 @@
   if (step != ReadStep::kWhole || !connection_->is_open()) {
     co_return false;
   }
-  connection_->BeginAnswer(plan_.head_request);
+  connection_->BeginResponse(plan_.head_request);
   co_return true;
 }
 
--- a/src/forwarding/connection_pool.cc
+++ b/src/forwarding/connection_pool.cc
@@ -12,8 +12,8 @@
 constexpr absl::Duration kKeepAliveMargin = absl::Milliseconds(400);
 
 bool IsExpired(const async_http::Connection& connection, absl::Time now) {
-  absl::Duration keep_alive = std::min(connection.peer_keeps(), kDefaultKeepAlive * 10);
-  if (connection.peer_keeps() == absl::InfiniteDuration()) {
+  absl::Duration keep_alive = std::min(connection.keep_alive_timeout(), kDefaultKeepAlive * 10);
+  if (connection.keep_alive_timeout() == absl::InfiniteDuration()) {
     keep_alive = kDefaultKeepAlive;
   }
   return connection.idle_since() + keep_alive - kKeepAliveMargin < now;
--- a/src/wire/archive.h
+++ b/src/wire/archive.h
@@ -19,7 +19,7 @@
 namespace martenyard::wire {
 
 static_assert(std::endian::native == std::endian::little,
-              "bytes are written as they lie in memory");
+              "numbers are encoded in native byte order, which must be little-endian");
 
 /// First byte of a message, the byte order: 1 is little-endian.
 inline constexpr std::uint8_t kLittleEndian = 1;
@@ -58,7 +58,7 @@
     std::uint8_t order = 0;
     Load(&order, sizeof(order));
     if (order != kLittleEndian) {
-      throw cereal::Exception("bytes of a foreign byte order");
+      throw cereal::Exception("unsupported byte order in message");
     }
   }
 
@@ -71,7 +71,7 @@
   /// Throws if fewer than `elements` bytes remain; each element takes at least one.
   void CheckHolds(std::uint64_t elements) const {
     if (elements > unread_.size()) {
-      throw cereal::Exception("a length beyond the message's end");
+      throw cereal::Exception("length exceeds the end of the message");
     }
   }
 
--- a/src/wire/event_loop.cc
+++ b/src/wire/event_loop.cc
@@ -113,8 +113,8 @@
   watches_.erase(found);
 }
 
-void EventLoop::RunRound(absl::Duration patience) {
-  context_.run_one_for(absl::ToChronoNanoseconds(patience));
+void EventLoop::RunRound(absl::Duration timeout) {
+  context_.run_one_for(absl::ToChronoNanoseconds(timeout));
   context_.poll();
   if (round_hook_) {
     round_hook_();
--- a/src/wire/event_loop.h
+++ b/src/wire/event_loop.h
@@ -23,8 +23,8 @@
 
   void Run();
   void Stop();
-  /// Runs one round: waits up to `patience` for an event and handles it. For tests and tools.
-  void RunRound(absl::Duration patience);
+  /// Runs one round: waits up to `timeout` for an event and handles it. For tests and tools.
+  void RunRound(absl::Duration timeout);
   /// Runs `task` on the loop's thread, in the order posted.
   void Post(std::function<void()> task);
   /// Runs `task` once after `delay`, counted by the steady clock.
--- a/tests/async_http/connection_test.cc
+++ b/tests/async_http/connection_test.cc
@@ -64,7 +64,7 @@
       co_return;
     }
     peer.Accept();
-    connection.BeginAnswer(/*head_request=*/false);
+    connection.BeginResponse(/*head_request=*/false);
     co_await connection.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     asio::co_spawn(
         context,
@@ -133,7 +133,7 @@
     peer.Accept();
     std::string head = std::string(kAnswer).substr(0, sizeof(kAnswer) - 1 - 5);
     for (bool is_head : {true, false, true}) {
-      connection.BeginAnswer(is_head);
+      connection.BeginResponse(is_head);
       peer.Say(is_head ? head : kAnswer);
       ReadStep step = ReadStep::kProgress;
       while (step == ReadStep::kProgress) {
--- a/tests/platform/support/platform_client.cc
+++ b/tests/platform/support/platform_client.cc
@@ -21,7 +21,7 @@
 Task<void> Talk(std::shared_ptr<Dialogue> dialogue, std::string text) {
   Connection& connection = *dialogue->connection;
   if (co_await connection.Connect()) {
-    connection.BeginAnswer(false);
+    connection.BeginResponse(false);
     if (co_await connection.Send(text)) {
       ReadStep step = ReadStep::kProgress;
       while (step == ReadStep::kProgress) {
@@ -64,7 +64,7 @@
 }
 
 Task<std::optional<unsigned>> AskOn(Connection& connection, std::string text) {
-  connection.BeginAnswer(/*head_request=*/false);
+  connection.BeginResponse(/*head_request=*/false);
   if (!co_await connection.Send(text)) {
     co_return std::nullopt;
   }
--- a/tests/platform/support/soak_client.cc
+++ b/tests/platform/support/soak_client.cc
@@ -86,7 +86,7 @@
 
 Task<bool> SoakClient::EnsureConnection() {
   bool usable = connection_ != nullptr && keeps_open_ && !connection_->IsStale() &&
-                SteadyNow() < idle_since_ + connection_->peer_keeps() - kKeepMargin;
+                SteadyNow() < idle_since_ + connection_->keep_alive_timeout() - kKeepMargin;
   if (usable && !Chance(kNewConnection)) {
     co_return true;
   }
@@ -193,7 +193,7 @@
 Task<void> SoakClient::Talk(Call& call, Call* early, bool leaves) {
   std::shared_ptr<Connection> connection = connection_;
   absl::Time began = SteadyNow();
-  connection->BeginAnswer(false);
+  connection->BeginResponse(false);
   bool left = false;
   async_http::Alarm alarm(scene_.loop.context(), kGuard, [connection, &left] {
     left = true;
--- a/tests/platform/support/turn_client.cc
+++ b/tests/platform/support/turn_client.cc
@@ -88,7 +88,7 @@
   TurnTry made = MakeTry();
   std::shared_ptr<async_http::Connection> connection = connection_;
   async_http::Alarm alarm(loop_.context(), kGuard, [connection] { connection->Close(); });
-  connection->BeginAnswer(false);
+  connection->BeginResponse(false);
   made.sent = co_await connection->Send(Text(made));
   ReadStep step = made.sent ? ReadStep::kProgress : ReadStep::kClosed;
   while (step == ReadStep::kProgress) {
