--- a/tests/async_http/connection_test.cc
+++ b/tests/async_http/connection_test.cc
@@ -15,7 +15,7 @@
 namespace martenyard::async_http {
 namespace {
 
-constexpr char kAnswer[] =
+constexpr char kResponse[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: keep-alive\r\n\r\nwhole";
 
 /// Listens on loopback and sends the parts of a response that the test provides.
@@ -37,7 +37,7 @@
   }
   const wire::Endpoint& endpoint() const { return endpoint_; }
   void Accept() { accepted_ = accept(listener_, nullptr, nullptr); }
-  void Say(const std::string& bytes) const {
+  void SendBytes(const std::string& bytes) const {
     send(accepted_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 
@@ -47,17 +47,17 @@
   wire::Endpoint endpoint_;
 };
 
-struct ReadAnswer {
+struct ReceivedResponse {
   unsigned status = 0;
   std::string body;
   bool reusable = false;
 };
 
 /// Sends one request; the peer sends each part after the previous one was read.
-ReadAnswer Exchange(const std::vector<std::string>& pieces) {
+ReceivedResponse Exchange(const std::vector<std::string>& parts) {
   asio::io_context context;
   ScriptedPeer peer;
-  ReadAnswer answer;
+  ReceivedResponse response;
   auto run = [&]() -> Task<void> {
     Connection connection(context, peer.endpoint());
     if (!co_await connection.Connect()) {
@@ -69,8 +69,8 @@
     asio::co_spawn(
         context,
         [&]() -> Task<void> {
-          for (const std::string& piece : pieces) {
-            peer.Say(piece);
+          for (const std::string& part : parts) {
+            peer.SendBytes(part);
             co_await asio::post(context, asio::use_awaitable);
           }
         },
@@ -80,13 +80,13 @@
       step = co_await connection.ReadBody();
     }
     if (step == ReadStep::kWhole) {
-      answer = {connection.parser().get().result_int(), connection.parser().get().body(),
-                connection.MayBeReused()};
+      response = {connection.parser().get().result_int(), connection.parser().get().body(),
+                  connection.MayBeReused()};
     }
   };
   asio::co_spawn(context, run, asio::detached);
   context.run();
-  return answer;
+  return response;
 }
 
 // Guards against taking an interim (1xx) response for the final one, which would then be taken for
@@ -96,30 +96,31 @@
   const std::string hints = "HTTP/1.1 103 Early Hints\r\nLink: </a>; rel=preload\r\n\r\n";
   struct InterimCase {
     const char* name;
-    std::vector<std::string> pieces;
+    std::vector<std::string> parts;
   };
   const InterimCase cases[] = {
-      {"none", {kAnswer}},
-      {"apart", {interim, kAnswer}},
-      {"in one piece", {interim + kAnswer}},
-      {"with fields", {hints, kAnswer}},
-      {"several", {interim, hints + interim, kAnswer}},
+      {"none", {kResponse}},
+      {"apart", {interim, kResponse}},
+      {"in one piece", {interim + kResponse}},
+      {"with fields", {hints, kResponse}},
+      {"several", {interim, hints + interim, kResponse}},
       {"cut in its head",
-       {interim.substr(0, 9), interim.substr(9) + hints.substr(0, 30), hints.substr(30) + kAnswer}},
+       {interim.substr(0, 9), interim.substr(9) + hints.substr(0, 30),
+        hints.substr(30) + kResponse}},
   };
   for (const InterimCase& test : cases) {
     SCOPED_TRACE(test.name);
-    ReadAnswer answer = Exchange(test.pieces);
-    EXPECT_EQ(answer.status, 200U);
-    EXPECT_EQ(answer.body, "whole");
-    EXPECT_TRUE(answer.reusable);
+    ReceivedResponse response = Exchange(test.parts);
+    EXPECT_EQ(response.status, 200U);
+    EXPECT_EQ(response.body, "whole");
+    EXPECT_TRUE(response.reusable);
   }
 }
 
 TEST(ConnectionTest, BytesAfterACompleteResponsePreventReuse) {
-  ReadAnswer answer = Exchange({std::string(kAnswer) + "HTTP/1.1 200 OK\r\n"});
-  EXPECT_EQ(answer.body, "whole");
-  EXPECT_FALSE(answer.reusable);
+  ReceivedResponse response = Exchange({std::string(kResponse) + "HTTP/1.1 200 OK\r\n"});
+  EXPECT_EQ(response.body, "whole");
+  EXPECT_FALSE(response.reusable);
 }
 
 TEST(ConnectionTest, ResponseToHeadEndsWithItsHeader) {
@@ -131,10 +132,10 @@
     Connection connection(context, peer.endpoint());
     co_await connection.Connect();
     peer.Accept();
-    std::string head = std::string(kAnswer).substr(0, sizeof(kAnswer) - 1 - 5);
+    std::string head = std::string(kResponse).substr(0, sizeof(kResponse) - 1 - 5);
     for (bool is_head : {true, false, true}) {
       connection.BeginResponse(is_head);
-      peer.Say(is_head ? head : kAnswer);
+      peer.SendBytes(is_head ? head : kResponse);
       ReadStep step = ReadStep::kProgress;
       while (step == ReadStep::kProgress) {
         step = co_await connection.ReadBody();
--- a/tests/async_http/server_test.cc
+++ b/tests/async_http/server_test.cc
@@ -20,12 +20,12 @@
 namespace martenyard::async_http {
 namespace {
 
-constexpr absl::Duration kPatience = absl::Seconds(5);
+constexpr absl::Duration kTimeout = absl::Seconds(5);
 /// Enough rounds for the loop to read all pending bytes.
 constexpr int kSomeRounds = 20;
 
 /// How a client ends its connection.
-enum class Leaving { kClose, kReset, kHalfClose };
+enum class DisconnectKind { kClose, kReset, kHalfClose };
 
 class RawClient {
  public:
@@ -36,22 +36,22 @@
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     EXPECT_EQ(connect(socket_, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
   }
-  ~RawClient() { Leave(Leaving::kClose); }
+  ~RawClient() { Disconnect(DisconnectKind::kClose); }
   RawClient(const RawClient&) = delete;
   RawClient& operator=(const RawClient&) = delete;
 
   void Say(const std::string& bytes) const {
     send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   }
-  void Leave(Leaving how) {
+  void Disconnect(DisconnectKind how) {
     if (socket_ < 0) {
       return;
     }
-    if (how == Leaving::kHalfClose) {
+    if (how == DisconnectKind::kHalfClose) {
       shutdown(socket_, SHUT_WR);
       return;
     }
-    if (how == Leaving::kReset) {
+    if (how == DisconnectKind::kReset) {
       linger at_once{1, 0};
       setsockopt(socket_, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
     }
@@ -59,7 +59,7 @@
     socket_ = -1;
   }
   /// @return all bytes received so far.
-  const std::string& Heard() {
+  const std::string& Received() {
     char bytes[4096];
     for (ssize_t count = 1; count > 0;) {
       count = recv(socket_, bytes, sizeof(bytes), MSG_DONTWAIT);
@@ -80,7 +80,7 @@
     ASSERT_TRUE(server_->Listen({"127.0.0.1", 0}));
   }
   bool RunUntil(const std::function<bool()>& condition) {
-    for (absl::Time end = SteadyNow() + kPatience; SteadyNow() < end;) {
+    for (absl::Time end = SteadyNow() + kTimeout; SteadyNow() < end;) {
       if (condition()) {
         return true;
       }
@@ -99,36 +99,37 @@
   struct LeavingCase {
     const char* name;
     std::string early;
-    Leaving leaving;
+    DisconnectKind disconnect_kind;
   };
   const std::string request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n";
   const LeavingCase cases[] = {
-      {"nothing early, closes", "", Leaving::kClose},
-      {"nothing early, resets", "", Leaving::kReset},
-      {"nothing early, closes its sending half", "", Leaving::kHalfClose},
-      {"whole request early, closes", request, Leaving::kClose},
-      {"whole request early, resets", request, Leaving::kReset},
-      {"whole request early, closes its sending half", request, Leaving::kHalfClose},
-      {"part of a request early, closes", request.substr(0, 7), Leaving::kClose},
-      {"one byte early, resets", "G", Leaving::kReset},
+      {"nothing early, closes", "", DisconnectKind::kClose},
+      {"nothing early, resets", "", DisconnectKind::kReset},
+      {"nothing early, closes its sending half", "", DisconnectKind::kHalfClose},
+      {"pipelines a complete request, closes", request, DisconnectKind::kClose},
+      {"pipelines a complete request, resets", request, DisconnectKind::kReset},
+      {"pipelines a complete request, closes its sending half", request,
+       DisconnectKind::kHalfClose},
+      {"part of a request early, closes", request.substr(0, 7), DisconnectKind::kClose},
+      {"one byte early, resets", "G", DisconnectKind::kReset},
       {"more early than one reading takes, closes",
        absl::StrCat("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 60000\r\n\r\n",
                     std::string(60000, 'x')),
-       Leaving::kClose},
+       DisconnectKind::kClose},
   };
   for (const LeavingCase& test : cases) {
     SCOPED_TRACE(test.name);
     int begun = 0;
-    int gone = 0;
-    Signal left(loop_.context());
+    int disconnects = 0;
+    Signal disconnected(loop_.context());
     Serve([&](std::shared_ptr<Exchange> exchange) -> Task<void> {
       ++begun;
       exchange->OnClientGone([&] {
-        ++gone;
-        left.Notify();
+        ++disconnects;
+        disconnected.Notify();
       });
       if (!exchange->client_gone()) {
-        co_await left.Wait(kPatience * 2);
+        co_await disconnected.Wait(kTimeout * 2);
       }
       exchange->Break();
     });
@@ -139,20 +140,20 @@
     for (int round = 0; round < kSomeRounds; ++round) {
       loop_.RunRound(absl::Milliseconds(1));
     }
-    EXPECT_EQ(gone, 0) << "a pipelined request is not a disconnect";
-    client.Leave(test.leaving);
-    EXPECT_TRUE(RunUntil([&] { return gone == 1; }));
-    left.Notify();
+    EXPECT_EQ(disconnects, 0) << "a pipelined request is not a disconnect";
+    client.Disconnect(test.disconnect_kind);
+    EXPECT_TRUE(RunUntil([&] { return disconnects == 1; }));
+    disconnected.Notify();
     EXPECT_TRUE(RunUntil([&] { return server_->stats().open_connections == 0; }));
   }
 }
 
 TEST_F(ServerTest, PipelinedRequestsAreAnsweredInOrder) {
   int begun = 0;
-  Signal may_answer(loop_.context());
+  Signal may_respond(loop_.context());
   Serve([&](std::shared_ptr<Exchange> exchange) -> Task<void> {
     ++begun;
-    co_await may_answer.Wait(absl::Milliseconds(20));
+    co_await may_respond.Wait(absl::Milliseconds(20));
     std::string target(exchange->request().target());
     HttpHead head;
     head.result(200);
@@ -162,13 +163,13 @@
   client.Say("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(RunUntil([&] { return begun == 1; }));
   client.Say("GET /2 HTTP/1.1\r\nHost: h\r\n\r\nGET /3 HTTP/1.1\r\nHost: h\r\n\r\n");
-  ASSERT_TRUE(RunUntil([&] { return absl::StrContains(client.Heard(), "answer to /3;"); }));
-  std::size_t first = client.Heard().find("answer to /1;");
-  std::size_t second = client.Heard().find("answer to /2;");
+  ASSERT_TRUE(RunUntil([&] { return absl::StrContains(client.Received(), "answer to /3;"); }));
+  std::size_t first = client.Received().find("answer to /1;");
+  std::size_t second = client.Received().find("answer to /2;");
   ASSERT_NE(first, std::string::npos);
   ASSERT_NE(second, std::string::npos);
   EXPECT_LT(first, second);
-  EXPECT_LT(second, client.Heard().find("answer to /3;"));
+  EXPECT_LT(second, client.Received().find("answer to /3;"));
 }
 
 // Guards against sending the chunks of a streamed response to HEAD, which would corrupt the next
@@ -184,10 +185,10 @@
   RawClient client(server_->port());
   client.Say("HEAD / HTTP/1.1\r\nHost: h\r\n\r\n");
   client.Say("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
-  ASSERT_TRUE(RunUntil([&] { return absl::EndsWith(client.Heard(), "0\r\n\r\n"); }));
-  std::size_t head_end = client.Heard().find("\r\n\r\n") + 4;
-  ASSERT_TRUE(RunUntil([&] { return client.Heard().size() > head_end + 5; }));
-  EXPECT_EQ(client.Heard().substr(head_end, 13), "HTTP/1.1 200 ");
+  ASSERT_TRUE(RunUntil([&] { return absl::EndsWith(client.Received(), "0\r\n\r\n"); }));
+  std::size_t head_end = client.Received().find("\r\n\r\n") + 4;
+  ASSERT_TRUE(RunUntil([&] { return client.Received().size() > head_end + 5; }));
+  EXPECT_EQ(client.Received().substr(head_end, 13), "HTTP/1.1 200 ");
 }
 
 // Guards against running a request whose connection a stopping server has closed after its bytes
@@ -196,7 +197,7 @@
 class ServerStopTest : public ::testing::TestWithParam<bool> {
  protected:
   /// Stops the server after some handlers have run. @return whether the request got a response.
-  static bool AnswersThoughStoppedAfter(int steps, bool kept_connection) {
+  static bool RespondsWhenStoppedAfter(int steps, bool kept_connection) {
     wire::EventLoop loop;
     int runs = 0;
     Server server(loop.context(), [&](std::shared_ptr<Exchange> exchange) -> Task<void> {
@@ -225,25 +226,25 @@
     for (int round = 0; round < kSomeRounds; ++round) {
       loop.RunRound(absl::Milliseconds(1));
     }
-    int answers = 0;
-    const std::string& heard = client.Heard();
+    int responses = 0;
+    const std::string& heard = client.Received();
     for (std::size_t at = heard.find("done"); at != std::string::npos;
          at = heard.find("done", at + 1)) {
-      ++answers;
+      ++responses;
     }
-    EXPECT_EQ(runs, answers);
-    return answers > before;
+    EXPECT_EQ(runs, responses);
+    return responses > before;
   }
 };
 
 TEST_P(ServerStopTest, RequestOnClosedConnectionIsNotRun) {
   constexpr int kMostSteps = 24;  // Exceeds the about ten handlers from connecting to the response.
-  int answered = 0;
+  int responded_runs = 0;
   for (int steps = 0; steps <= kMostSteps; ++steps) {
     SCOPED_TRACE(steps);
-    answered += AnswersThoughStoppedAfter(steps, GetParam()) ? 1 : 0;
+    responded_runs += RespondsWhenStoppedAfter(steps, GetParam()) ? 1 : 0;
   }
-  EXPECT_GT(answered, 0) << "the server never stopped after the request was read";
+  EXPECT_GT(responded_runs, 0) << "the server never stopped after the request was read";
 }
 
 INSTANTIATE_TEST_SUITE_P(Connections, ServerStopTest, ::testing::Bool(),
--- a/tests/wire/transport_test.cc
+++ b/tests/wire/transport_test.cc
@@ -19,9 +19,9 @@
 namespace {
 
 /// Listens on loopback without accepting connections.
-class DeafPeer {
+class NonAcceptingPeer {
  public:
-  DeafPeer() : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  NonAcceptingPeer() : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -31,7 +31,7 @@
     getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &size);
     endpoint_ = {"127.0.0.1", ntohs(address.sin_port)};
   }
-  ~DeafPeer() { close(socket_); }
+  ~NonAcceptingPeer() { close(socket_); }
   const Endpoint& endpoint() const { return endpoint_; }
 
  private:
@@ -39,10 +39,10 @@
   Endpoint endpoint_;
 };
 
-constexpr absl::Duration kPatience = absl::Seconds(20);
+constexpr absl::Duration kTimeout = absl::Seconds(20);
 
 bool RunUntil(EventLoop& loop, const std::function<bool()>& condition) {
-  for (absl::Time end = SteadyNow() + kPatience; SteadyNow() < end;) {
+  for (absl::Time end = SteadyNow() + kTimeout; SteadyNow() < end;) {
     if (condition()) {
       return true;
     }
@@ -89,10 +89,10 @@
       [](const std::string&) {}, [](const Endpoint&, absl::Time) {});
   auto bound = transport.Listen({"127.0.0.1", 0});
   ASSERT_TRUE(bound);
-  std::string whole = FrameOf("first-of-the-old");
+  std::string complete = FrameOf("first-of-the-old");
   std::string half = FrameOf(std::string(40, 'o')).substr(0, 24);
   RawPeer old_connection(*bound);
-  old_connection.Send(whole + half);
+  old_connection.Send(complete + half);
   ASSERT_TRUE(RunUntil(loop, [&] { return frames.size() == 1; }));
   RawPeer new_connection(*bound);
   new_connection.Send(FrameOf("of-the-new"));
@@ -113,8 +113,8 @@
       [](const Endpoint&, absl::Time) {});
   Endpoint endpoint;
   {
-    DeafPeer deaf;
-    endpoint = deaf.endpoint();
+    NonAcceptingPeer non_accepting;
+    endpoint = non_accepting.endpoint();
     // Exceeds the socket buffers, so that a frame is sent only in part.
     for (int frame = 0; frame < 32; ++frame) {
       sender.SendFrame(endpoint, std::string(std::size_t{1} << 20U, 'o'));
@@ -144,11 +144,11 @@
       loop, [](const std::string&) {}, [](const std::string&) {},
       [](const Endpoint&, absl::Time) {});
   transport.SetUnsentLimit(kLimit);
-  std::vector<DeafPeer> peers(8);
+  std::vector<NonAcceptingPeer> peers(8);
   std::string payload(kFrame, 'x');
   std::size_t most = 0;
   for (int round = 0; round < 40; ++round) {
-    for (const DeafPeer& peer : peers) {
+    for (const NonAcceptingPeer& peer : peers) {
       transport.SendFrame(peer.endpoint(), payload);
       most = std::max(most, transport.unsent());
     }
@@ -157,7 +157,7 @@
   EXPECT_LE(most, kLimit + 64);
   EXPECT_GT(transport.stats().frames_dropped, 0U) << "dropped and counted, not queued";
   std::size_t waiting = 0;
-  for (const DeafPeer& peer : peers) {
+  for (const NonAcceptingPeer& peer : peers) {
     waiting += transport.Unsent(peer.endpoint());
   }
   EXPECT_EQ(waiting, transport.unsent());
