--- a/src/async_http/connection.cc
+++ b/src/async_http/connection.cc
@@ -19,13 +19,13 @@
 constexpr std::size_t kReadBytes = std::size_t{16} << 10;
 constexpr std::uint64_t kBodyLimit = std::uint64_t{64} << 20;
 constexpr std::uint32_t kHeaderLimit = std::uint32_t{64} << 10;
-/// Bytes that the peer doesn't take in this time break the connection.
+/// The connection fails if sent data isn't acknowledged in this time.
 constexpr unsigned kUserTimeoutMilliseconds = 1000;
 
 constexpr unsigned kFirstFinalStatus = 200;
 constexpr unsigned kSwitchingProtocols = 101;
 
-/// @return whether the answer proper follows. By number: Beast has no name for some of these.
+/// @return whether a final response follows. Compares numbers: Beast lacks some of the names.
 bool IsInterim(const ResponseParser& parser) {
   unsigned status = parser.get().result_int();
   return status < kFirstFinalStatus && status != kSwitchingProtocols;
@@ -68,7 +68,7 @@
   co_return !error;
 }
 
-void Connection::BeginAnswer(bool head_request) {
+void Connection::BeginResponse(bool head_request) {
   any_sent_ = false;
   ended_by_close_ = false;
   ++uses_;
@@ -111,7 +111,7 @@
       continue;
     }
     if (parser_->is_done()) {
-      NoteKeepAlive();
+      ParseKeepAlive();
       co_return ReadStep::kWhole;
     }
     if (parsed && (!head_only || parser_->is_header_done())) {
@@ -138,7 +138,7 @@
   }
 }
 
-void Connection::NoteKeepAlive() {
+void Connection::ParseKeepAlive() {
   auto field = parser_->get().find(http::field::keep_alive);
   if (field == parser_->get().end()) {
     return;
@@ -148,7 +148,7 @@
     item = absl::StripAsciiWhitespace(item);
     int seconds = 0;
     if (absl::ConsumePrefix(&item, "timeout=") && absl::SimpleAtoi(item, &seconds)) {
-      peer_keeps_ = absl::Seconds(seconds);
+      keep_alive_timeout_ = absl::Seconds(seconds);
     }
   }
 }
--- a/src/async_http/server.cc
+++ b/src/async_http/server.cc
@@ -29,15 +29,14 @@
 
 constexpr int kBacklog = 4096;
 constexpr std::size_t kReadBytes = std::size_t{16} << 10;
-/// Bytes that a client doesn't take in this time break the connection.
+/// The connection fails if sent data isn't acknowledged in this time.
 constexpr unsigned kUserTimeoutMilliseconds = 5000;
-/// Seconds until a refused client may come again.
+/// Retry-After of rejected requests, in seconds.
 constexpr absl::string_view kOverloadRetryAfter = "0.3";
 constexpr absl::Duration kAcceptPause = absl::Milliseconds(20);
-/// A client whose next request came early is looked at this often, whether it has left: bytes that
-/// lie unread make its socket readable for good. A tenth of what a person takes for an instant, and
-/// twenty system calls a second for each such client.
-constexpr absl::Duration kEarlyClientLook = absl::Milliseconds(50);
+/// Interval of polling a client with a pipelined request for its disconnect: unread bytes keep the
+/// socket readable, so readability can't signal it.
+constexpr absl::Duration kDisconnectPollInterval = absl::Milliseconds(50);
 
 using RequestParser = http::request_parser<http::string_body>;
 
@@ -69,11 +68,11 @@
   ServerLimits limits;
   ServerStats stats;
   bool draining = false;
-  bool asks_to_close = false;
+  bool requests_close = false;
   std::set<ServerConnection*> connections;
 };
 
-/// One client connection: reads requests one after the other and lets the handler answer them.
+/// A client connection: reads requests one after the other and passes them to the handler.
 class ServerConnection : public std::enable_shared_from_this<ServerConnection> {
  public:
   ServerConnection(std::shared_ptr<Server::Shared> shared, Socket socket)
@@ -90,9 +89,9 @@
 
   Task<bool> SendBytes(absl::string_view bytes);
   void Close();
-  /// Closes the connection if it rests and no byte of a request has come.
+  /// Closes the connection if it is idle and no byte of a request was received.
   void CloseIfIdle();
-  /// Keeps an eye on the client while its request is worked on.
+  /// Watches for a disconnect of the client while its request is processed.
   void Watch(std::shared_ptr<Exchange> exchange);
   std::string ConnectionFields(bool* closes) const;
   const HttpRequest* current() const { return current_; }
@@ -100,42 +99,42 @@
   bool draining() const { return shared_->draining; }
 
  private:
-  enum class ReadEnd { kWhole, kClosed, kAnswered };
+  enum class ReadOutcome { kComplete, kClosed, kAnswered };
 
-  Task<ReadEnd> ReadRequest(Exchange& exchange);
-  Task<bool> FillBuffer(absl::Duration patience);
-  Task<ReadEnd> Refuse(unsigned status, absl::string_view reason);
+  Task<ReadOutcome> ReadRequest(Exchange& exchange);
+  Task<bool> FillBuffer(absl::Duration timeout);
+  Task<ReadOutcome> Reject(unsigned status, absl::string_view reason);
   bool ReserveBody(std::uint64_t bytes);
   void ReleaseBody();
   void OnReadable();
   void ArmWatch();
-  /// Looks after a while whether the client, which has sent more than was read, has left.
-  void LookLater();
-  void LookForEnd();
+  /// Schedules a check for the disconnect of a client with unread bytes.
+  void ScheduleDisconnectCheck();
+  void CheckDisconnect();
 
   std::shared_ptr<Server::Shared> shared_;
   Socket socket_;
   boost::beast::flat_buffer buffer_;
   std::weak_ptr<Exchange> watched_;
   bool watch_armed_ = false;
-  std::unique_ptr<Alarm> look_;  // Of the present exchange only.
+  std::unique_ptr<Alarm> disconnect_check_;  // For the current exchange only.
   bool keep_open_ = true;
-  bool rests_ = false;  // No byte of the next request has been read.
+  bool idle_ = false;  // No byte of the next request has been read.
   std::uint64_t reserved_body_ = 0;
   const HttpRequest* current_ = nullptr;
 };
 
 // ---- Reading ----
 
-Task<bool> ServerConnection::FillBuffer(absl::Duration patience) {
+Task<bool> ServerConnection::FillBuffer(absl::Duration timeout) {
   std::weak_ptr<ServerConnection> self = weak_from_this();
-  Alarm alarm(shared_->context, patience, [self] {
+  Alarm alarm(shared_->context, timeout, [self] {
     if (auto present = self.lock()) {
       present->Close();
     }
   });
   auto [error, count] = co_await socket_.async_read_some(buffer_.prepare(kReadBytes), kAwait);
-  // Closed while the bytes were on their way here: the client takes the close for "not read".
+  // Closed after the bytes arrived: the client takes the close to mean that nothing was processed.
   if (error || !socket_.is_open()) {
     co_return false;
   }
@@ -150,7 +149,7 @@
   }
   std::uint64_t more = bytes - reserved_body_;
   if (stats.buffered_body_bytes + more > shared_->limits.buffered_body_bytes) {
-    ++stats.refused_bodies;
+    ++stats.rejected_bodies;
     return false;
   }
   stats.buffered_body_bytes += more;
@@ -163,27 +162,26 @@
   reserved_body_ = 0;
 }
 
-Task<ServerConnection::ReadEnd> ServerConnection::Refuse(unsigned status,
-                                                         absl::string_view reason) {
+Task<ServerConnection::ReadOutcome> ServerConnection::Reject(unsigned status,
+                                                             absl::string_view reason) {
   std::string retry =
       status == 503 ? absl::StrCat("Retry-After: ", kOverloadRetryAfter, "\r\n") : std::string();
   std::string body = absl::StrCat("{\"error\":\"", reason, "\"}");
   co_await SendBytes(absl::StrCat("HTTP/1.1 ", status, " ", reason, "\r\n", retry,
                                   "Content-Type: application/json\r\nConnection: close\r\n",
                                   "Content-Length: ", body.size(), "\r\n\r\n", body));
-  co_return ReadEnd::kAnswered;
+  co_return ReadOutcome::kAnswered;
 }
 
-Task<ServerConnection::ReadEnd> ServerConnection::ReadRequest(Exchange& exchange) {
+Task<ServerConnection::ReadOutcome> ServerConnection::ReadRequest(Exchange& exchange) {
   const ServerLimits& limits = shared_->limits;
-  rests_ = buffer_.size() == 0;
-  if (rests_ && !co_await FillBuffer(limits.idle_timeout)) {
-    co_return ReadEnd::kClosed;
+  idle_ = buffer_.size() == 0;
+  if (idle_ && !co_await FillBuffer(limits.idle_timeout)) {
+    co_return ReadOutcome::kClosed;
   }
-  rests_ = false;
+  idle_ = false;
   RequestParser parser;
-  // Not eager until the header is whole: the header is then known apart from a chunked body's
-  // trailer.
+  // Not eager until the header is complete, to keep it apart from the trailer of a chunked body.
   parser.eager(false);
   parser.header_limit(limits.header_bytes);
   parser.body_limit(limits.body_bytes);
@@ -197,11 +195,11 @@
     if (error == http::error::need_more) {
       error = {};
     } else if (error == http::error::header_limit) {
-      co_return co_await Refuse(431, "Request Header Fields Too Large");
+      co_return co_await Reject(431, "Request Header Fields Too Large");
     } else if (error == http::error::body_limit) {
-      co_return co_await Refuse(413, "Payload Too Large");
+      co_return co_await Reject(413, "Payload Too Large");
     } else if (error) {
-      co_return co_await Refuse(400, "Bad Request");
+      co_return co_await Reject(400, "Bad Request");
     }
     if (parser.is_header_done() && !parser.eager()) {
       parser.eager(true);
@@ -215,7 +213,7 @@
     if (parser.is_header_done()) {
       std::uint64_t expected = parser.content_length().value_or(parser.get().body().size());
       if (!ReserveBody(expected)) {
-        co_return co_await Refuse(503, "Service Unavailable");
+        co_return co_await Reject(503, "Service Unavailable");
       }
       auto expectation = parser.get().find(http::field::expect);
       if (!continue_sent && expectation != parser.get().end()) {
@@ -229,29 +227,29 @@
     absl::Duration allowed =
         parser.is_header_done() ? limits.body_timeout : began + limits.header_timeout - SteadyNow();
     if (allowed <= absl::ZeroDuration()) {
-      co_return co_await Refuse(408, "Request Timeout");
+      co_return co_await Reject(408, "Request Timeout");
     }
     if (!co_await FillBuffer(allowed)) {
-      co_return ReadEnd::kClosed;
+      co_return ReadOutcome::kClosed;
     }
   }
   keep_open_ = parser.keep_alive();
   exchange.request_ = parser.release();
   if (header) {
-    // The parser adds a trailer's fields to the header's. They came after the request was begun,
-    // may repeat any header's name, and none of them is asked for.
+    // The parser adds trailer fields to the header. Drop them: they may repeat the name of any
+    // header field, and none is used.
     exchange.request_.base() = std::move(*header);
   }
   exchange.received_at_ = SteadyNow();
-  co_return ReadEnd::kWhole;
+  co_return ReadOutcome::kComplete;
 }
 
 Task<void> ServerConnection::Run() {
   auto self = shared_from_this();
   while (socket_.is_open()) {
     auto exchange = std::make_shared<Exchange>(*this);
-    ReadEnd end = co_await ReadRequest(*exchange);
-    if (end != ReadEnd::kWhole) {
+    ReadOutcome end = co_await ReadRequest(*exchange);
+    if (end != ReadOutcome::kComplete) {
       ReleaseBody();
       break;
     }
@@ -263,7 +261,7 @@
     current_ = nullptr;
     exchange->ClearOnClientGone();
     watched_.reset();
-    look_.reset();
+    disconnect_check_.reset();
     ReleaseBody();
     if (exchange->broken_ || !exchange->answered_ || !keep_open_) {
       break;
@@ -309,26 +307,26 @@
   char byte = 0;
   ssize_t count = recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (count > 0) {
-    LookLater();  // The next request came early; it is read when this one is answered.
+    ScheduleDisconnectCheck();  // Pipelined request; read after the current response.
     return;
   }
   if (count < 0 && (errno == EAGAIN || errno == EINTR)) {
     ArmWatch();
     return;
   }
-  exchange->NoteClientGone();
+  exchange->HandleDisconnect();
 }
 
-void ServerConnection::LookLater() {
+void ServerConnection::ScheduleDisconnectCheck() {
   std::weak_ptr<ServerConnection> self = weak_from_this();
-  look_ = std::make_unique<Alarm>(shared_->context, kEarlyClientLook, [self] {
+  disconnect_check_ = std::make_unique<Alarm>(shared_->context, kDisconnectPollInterval, [self] {
     if (auto present = self.lock()) {
-      present->LookForEnd();
+      present->CheckDisconnect();
     }
   });
 }
 
-void ServerConnection::LookForEnd() {
+void ServerConnection::CheckDisconnect() {
   auto exchange = watched_.lock();
   if (!exchange || !socket_.is_open()) {
     return;
@@ -336,10 +334,10 @@
   pollfd query{socket_.native_handle(), POLLRDHUP, 0};
   bool ended = poll(&query, 1, 0) > 0 && (query.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   if (ended) {
-    exchange->NoteClientGone();
+    exchange->HandleDisconnect();
     return;
   }
-  LookLater();
+  ScheduleDisconnectCheck();
 }
 
 // ---- Writing ----
@@ -363,7 +361,7 @@
 }
 
 void ServerConnection::CloseIfIdle() {
-  if (!rests_ || !socket_.is_open()) {
+  if (!idle_ || !socket_.is_open()) {
     return;
   }
   char byte = 0;
@@ -374,7 +372,7 @@
 }
 
 std::string ServerConnection::ConnectionFields(bool* closes) const {
-  *closes = !keep_open_ || shared_->draining || shared_->asks_to_close;
+  *closes = !keep_open_ || shared_->draining || shared_->requests_close;
   if (*closes) {
     return "Connection: close\r\n";
   }
@@ -382,7 +380,7 @@
   return absl::StrCat("Connection: keep-alive\r\nKeep-Alive: timeout=", seconds, "\r\n");
 }
 
-void Exchange::NoteClientGone() {
+void Exchange::HandleDisconnect() {
   client_gone_ = true;
   if (on_gone_) {
     std::function<void()> on_gone = std::move(on_gone_);
@@ -401,7 +399,7 @@
 
 Task<bool> Exchange::Send(HttpHead head, std::string body) {
   if (stream_started_) {
-    Break();  // Two heads in one answer would let the rest pass for another request's.
+    Break();  // A second header would make the rest look like the response to another request.
     co_return false;
   }
   answered_ = true;
@@ -441,7 +439,7 @@
 Task<bool> Exchange::Finish() {
   answered_ = true;
   if (!has_body_) {
-    co_return true;  // Its answer ended with the head: more would be read as the next one's.
+    co_return true;  // The response ended with its header; more bytes would belong to the next one.
   }
   co_return co_await connection_.SendBytes("0\r\n\r\n");
 }
@@ -462,11 +460,11 @@
       co_return;
     }
     if (error) {
-      co_await Sleep(shared->context, kAcceptPause);  // Out of descriptors, for a while.
+      co_await Sleep(shared->context, kAcceptPause);  // Out of file descriptors.
       continue;
     }
     if (shared->stats.open_connections >= shared->limits.connections) {
-      continue;  // Closed unread: the client knows that nothing was taken.
+      continue;  // Closed without reading, so the client knows that nothing was processed.
     }
     error_code ignored;
     socket.set_option(asio::ip::tcp::no_delay(true), ignored);
@@ -517,7 +515,7 @@
 std::uint16_t Server::port() const { return shared_->acceptor.local_endpoint().port(); }
 void Server::BeginDrain() { shared_->draining = true; }
 
-void Server::AskToClose(bool ask) { shared_->asks_to_close = ask; }
+void Server::AskToClose(bool ask) { shared_->requests_close = ask; }
 
 void Server::CloseIdle() {
   error_code ignored;
--- a/tests/async_http/connection_test.cc
+++ b/tests/async_http/connection_test.cc
@@ -1,4 +1,4 @@
-// The client side of HTTP over a peer that a test plays byte by byte: where one answer ends.
+// Tests the framing of responses by the HTTP client, with a peer scripted byte by byte.
 #include "async_http/connection.h"
 
 #include <arpa/inet.h>
@@ -15,10 +15,10 @@
 namespace martenyard::async_http {
 namespace {
 
-constexpr char kAnswer[] =
+constexpr char kResponse[] =
     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: keep-alive\r\n\r\nwhole";
 
-/// Listens on loopback; the test writes what it answers, piece by piece.
+/// Listens on loopback and sends the parts of a response that the test provides.
 class ScriptedPeer {
  public:
   ScriptedPeer() : listener_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -37,7 +37,7 @@
   }
   const wire::Endpoint& endpoint() const { return endpoint_; }
   void Accept() { accepted_ = accept(listener_, nullptr, nullptr); }
-  void Say(const std::string& bytes) const {
+  void SendBytes(const std::string& bytes) const {
     send(accepted_, bytes.data(), bytes.size(), MSG_NOSIGNAL);
   }
 
@@ -47,30 +47,30 @@
   wire::Endpoint endpoint_;
 };
 
-struct ReadAnswer {
+struct ReceivedResponse {
   unsigned status = 0;
   std::string body;
   bool reusable = false;
 };
 
-/// Sends one request; the peer says the pieces, each once the one before was taken in.
-ReadAnswer Exchange(const std::vector<std::string>& pieces) {
+/// Sends one request; the peer sends each part after the previous one was read.
+ReceivedResponse Exchange(const std::vector<std::string>& parts) {
   asio::io_context context;
   ScriptedPeer peer;
-  ReadAnswer answer;
+  ReceivedResponse response;
   auto run = [&]() -> Task<void> {
     Connection connection(context, peer.endpoint());
     if (!co_await connection.Connect()) {
       co_return;
     }
     peer.Accept();
-    connection.BeginAnswer(/*head_request=*/false);
+    connection.BeginResponse(/*head_request=*/false);
     co_await connection.Send("GET / HTTP/1.1\r\nHost: h\r\n\r\n");
     asio::co_spawn(
         context,
         [&]() -> Task<void> {
-          for (const std::string& piece : pieces) {
-            peer.Say(piece);
+          for (const std::string& part : parts) {
+            peer.SendBytes(part);
             co_await asio::post(context, asio::use_awaitable);
           }
         },
@@ -80,53 +80,51 @@
       step = co_await connection.ReadBody();
     }
     if (step == ReadStep::kWhole) {
-      answer = {connection.parser().get().result_int(), connection.parser().get().body(),
-                connection.MayBeReused()};
+      response = {connection.parser().get().result_int(), connection.parser().get().body(),
+                  connection.MayBeReused()};
     }
   };
   asio::co_spawn(context, run, asio::detached);
   context.run();
-  return answer;
+  return response;
 }
 
-// Symptom: an answer of status 100 or 103 without a body, and the answer proper taken for the one
-// to the next request on the connection. Sequence: the peer sends an interim answer before its
-// final one; the connection counts as free. Cause: the first head was taken for the whole answer's,
-// whatever its status. What settled it: the same bytes in one piece and in several: only those of
-// one piece left bytes behind, for which the connection was not used again.
-TEST(ConnectionTest, InterimAnswerIsNoAnswer) {
+// Guards against taking an interim (1xx) response for the final one, which would then be taken for
+// the response to the next request.
+TEST(ConnectionTest, SkipsInterimResponses) {
   const std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
   const std::string hints = "HTTP/1.1 103 Early Hints\r\nLink: </a>; rel=preload\r\n\r\n";
   struct InterimCase {
     const char* name;
-    std::vector<std::string> pieces;
+    std::vector<std::string> parts;
   };
   const InterimCase cases[] = {
-      {"none", {kAnswer}},
-      {"apart", {interim, kAnswer}},
-      {"in one piece", {interim + kAnswer}},
-      {"with fields", {hints, kAnswer}},
-      {"several", {interim, hints + interim, kAnswer}},
+      {"none", {kResponse}},
+      {"apart", {interim, kResponse}},
+      {"in one piece", {interim + kResponse}},
+      {"with fields", {hints, kResponse}},
+      {"several", {interim, hints + interim, kResponse}},
       {"cut in its head",
-       {interim.substr(0, 9), interim.substr(9) + hints.substr(0, 30), hints.substr(30) + kAnswer}},
+       {interim.substr(0, 9), interim.substr(9) + hints.substr(0, 30),
+        hints.substr(30) + kResponse}},
   };
   for (const InterimCase& test : cases) {
     SCOPED_TRACE(test.name);
-    ReadAnswer answer = Exchange(test.pieces);
-    EXPECT_EQ(answer.status, 200U);
-    EXPECT_EQ(answer.body, "whole");
-    EXPECT_TRUE(answer.reusable);
+    ReceivedResponse response = Exchange(test.parts);
+    EXPECT_EQ(response.status, 200U);
+    EXPECT_EQ(response.body, "whole");
+    EXPECT_TRUE(response.reusable);
   }
 }
 
-TEST(ConnectionTest, BytesBehindAWholeAnswerAreNeverTheNextOnes) {
-  ReadAnswer answer = Exchange({std::string(kAnswer) + "HTTP/1.1 200 OK\r\n"});
-  EXPECT_EQ(answer.body, "whole");
-  EXPECT_FALSE(answer.reusable);
+TEST(ConnectionTest, BytesAfterACompleteResponsePreventReuse) {
+  ReceivedResponse response = Exchange({std::string(kResponse) + "HTTP/1.1 200 OK\r\n"});
+  EXPECT_EQ(response.body, "whole");
+  EXPECT_FALSE(response.reusable);
 }
 
-TEST(ConnectionTest, AnswerToHeadEndsWithItsHead) {
-  // The peer's answer to GET has a body of the same length: the framing is the request's.
+TEST(ConnectionTest, ResponseToHeadEndsWithItsHeader) {
+  // Content-Length is that of the GET response; no body follows.
   asio::io_context context;
   ScriptedPeer peer;
   std::vector<std::string> bodies;
@@ -134,10 +132,10 @@
     Connection connection(context, peer.endpoint());
     co_await connection.Connect();
     peer.Accept();
-    std::string head = std::string(kAnswer).substr(0, sizeof(kAnswer) - 1 - 5);
+    std::string head = std::string(kResponse).substr(0, sizeof(kResponse) - 1 - 5);
     for (bool is_head : {true, false, true}) {
-      connection.BeginAnswer(is_head);
-      peer.Say(is_head ? head : kAnswer);
+      connection.BeginResponse(is_head);
+      peer.SendBytes(is_head ? head : kResponse);
       ReadStep step = ReadStep::kProgress;
       while (step == ReadStep::kProgress) {
         step = co_await connection.ReadBody();
--- a/tests/store/prefix_mirror_test.cc
+++ b/tests/store/prefix_mirror_test.cc
@@ -1,5 +1,5 @@
-// The mirror over the real store client and the stand-in of the platform's store, with its faults;
-// and over a store whose answers a test gives one by one, in any order.
+// Tests the mirror with the real store client against the emulated store and its faults, and with a
+// scripted store whose replies arrive in any order.
 #include "store/prefix_mirror.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 namespace martenyard::store {
 namespace {
 
-constexpr absl::Duration kPatience = absl::Seconds(20);
+constexpr absl::Duration kTimeout = absl::Seconds(20);
 
 class PrefixMirrorTest : public ::testing::Test {
  protected:
@@ -30,11 +30,9 @@
         [this](bool reachable, StoreStatus) { reachable_ = reachable; });
   }
 
-  bool RunUntil(const std::function<bool()>& condition) {
-    return RunUntilFor(condition, kPatience);
-  }
-  bool RunUntilFor(const std::function<bool()>& condition, absl::Duration patience) {
-    for (absl::Time end = SteadyNow() + patience; SteadyNow() < end;) {
+  bool RunUntil(const std::function<bool()>& condition) { return RunUntilFor(condition, kTimeout); }
+  bool RunUntilFor(const std::function<bool()>& condition, absl::Duration timeout) {
+    for (absl::Time end = SteadyNow() + timeout; SteadyNow() < end;) {
       if (condition()) {
         return true;
       }
@@ -42,7 +40,7 @@
     }
     return condition();
   }
-  bool Holds(const std::string& key, const std::string& value) {
+  bool HasValue(const std::string& key, const std::string& value) {
     auto found = mirror_->items().find(key);
     return found != mirror_->items().end() && found->second.value == value;
   }
@@ -66,17 +64,17 @@
   stand_in_.Put("p/7", "changed");
   stand_in_.Remove("p/8");
   EXPECT_TRUE(
-      RunUntil([&] { return Holds("p/7", "changed") && !mirror_->items().contains("p/8"); }));
+      RunUntil([&] { return HasValue("p/7", "changed") && !mirror_->items().contains("p/8"); }));
 }
 
-TEST_F(PrefixMirrorTest, MirrorThatDoesNotWatchLearnsEveryChangeFromAPeer) {
+TEST_F(PrefixMirrorTest, UnwatchedMirrorAppliesDeltasOfAPeer) {
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {}, [](bool, StoreStatus) {});
   stand_in_.Put("p/a", "1");
   stand_in_.Put("p/b", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return mirror_->items().size() == 2; }));
-  other.TakeDelta(mirror_->ChangesSince(other.last_change()));
+  other.ApplyDelta(mirror_->ChangesSince(other.last_change()));
   EXPECT_TRUE(other.complete());
   EXPECT_EQ(other.items().size(), 2U);
   EXPECT_EQ(other.last_change(), mirror_->last_change());
@@ -84,41 +82,41 @@
   mirror_delta old = mirror_->ChangesSince(0);
   stand_in_.Put("p/a", "2");
   stand_in_.Remove("p/b");
-  ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "2") && mirror_->items().size() == 1; }));
+  ASSERT_TRUE(RunUntil([&] { return HasValue("p/a", "2") && mirror_->items().size() == 1; }));
   mirror_delta delta = mirror_->ChangesSince(other.last_change());
   EXPECT_FALSE(delta.m_full);
   EXPECT_EQ(delta.m_items.size(), 1U);
   EXPECT_EQ(delta.m_removals.size(), 1U);
-  other.TakeDelta(delta);
+  other.ApplyDelta(delta);
   EXPECT_EQ(other.items().size(), 1U);
-  old.m_last_change = other.last_change() + 1;  // A peer that is behind in part.
+  old.m_last_change = other.last_change() + 1;  // From a peer that is partly behind.
   old.m_full = false;
-  other.TakeDelta(old);
+  other.ApplyDelta(old);
   EXPECT_FALSE(other.items().contains("p/b")) << "what was removed does not come back";
   EXPECT_EQ(other.items().at("p/a").value, "2");
 }
 
-TEST_F(PrefixMirrorTest, PausedMirrorAsksNothingAndGoesOnWhenItIsResumed) {
+TEST_F(PrefixMirrorTest, PausedMirrorSendsNoCallsUntilResumed) {
   mirror_->SetPaused(true);
   mirror_->Start();
   EXPECT_FALSE(RunUntilFor([&] { return client_->calls() > 0; }, absl::Milliseconds(400)));
   stand_in_.Put("p/a", "1");
   mirror_->SetPaused(false);
-  EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "1"); }));
+  EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", "1"); }));
 }
 
-TEST_F(PrefixMirrorTest, FirstFailureIsToldToo) {
-  int told = 0;
+TEST_F(PrefixMirrorTest, ReportsFailureOfTheFirstCall) {
+  int notifications = 0;
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {},
-      [&](bool reachable, StoreStatus) { told += reachable ? 0 : 1; });
+      [&](bool reachable, StoreStatus) { notifications += reachable ? 0 : 1; });
   stand_in_.faults().down = true;
   other.Start();
   EXPECT_TRUE(RunUntil([&] { return client_->calls() > 2; }));
-  EXPECT_EQ(told, 1) << "once, not at every try";
+  EXPECT_EQ(notifications, 1) << "once, not at each attempt";
 }
 
-TEST_F(PrefixMirrorTest, MirrorThatNeedNotWatchNeverBegins) {
+TEST_F(PrefixMirrorTest, UnwatchedMirrorStartsNoWatch) {
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {}, [](bool, StoreStatus) {});
   other.SetWatching(false);
@@ -129,22 +127,22 @@
   EXPECT_TRUE(RunUntil([&] { return client_->calls() > 1; }));
 }
 
-TEST_F(PrefixMirrorTest, WatchEndsBeforeTheStoreForgetsWhereItBegan) {
-  EXPECT_EQ(WatchPatience(absl::Seconds(20)), absl::Seconds(17));
-  EXPECT_EQ(WatchPatience(absl::Seconds(100)), absl::Seconds(28));
-  EXPECT_LE(MirrorOptions{}.watch_patience, absl::Seconds(20));
+TEST_F(PrefixMirrorTest, WatchEndsBeforeItsRevisionIsCompacted) {
+  EXPECT_EQ(MaxWatchTimeout(absl::Seconds(20)), absl::Seconds(17));
+  EXPECT_EQ(MaxWatchTimeout(absl::Seconds(100)), absl::Seconds(28));
+  EXPECT_LE(MirrorOptions{}.watch_timeout, absl::Seconds(20));
 }
 
-TEST_F(PrefixMirrorTest, LostWatchIsFoundOutWithinTheBound) {
-  EXPECT_EQ(WatchPatienceWithin(absl::Seconds(3)), absl::Milliseconds(1500));
-  // One quick answer after an outage, which comes before the store is waited for, halves the limit.
-  EXPECT_LT(WatchPatienceWithin(absl::Seconds(3)) + AnswerPatience::kMost / 2, absl::Seconds(2.5));
-  EXPECT_GT(WatchPatienceWithin(absl::Milliseconds(10)), absl::ZeroDuration());
+TEST_F(PrefixMirrorTest, LostWatchIsDetectedWithinTheBound) {
+  EXPECT_EQ(MaxWatchTimeoutWithin(absl::Seconds(3)), absl::Milliseconds(1500));
+  // One fast reply after an outage halves the limit before the next watch.
+  EXPECT_LT(MaxWatchTimeoutWithin(absl::Seconds(3)) + ReplyTimeout::kMax / 2, absl::Seconds(2.5));
+  EXPECT_GT(MaxWatchTimeoutWithin(absl::Milliseconds(10)), absl::ZeroDuration());
 }
 
-TEST_F(PrefixMirrorTest, LongWatchIsAskedAnewOnceAShortOneFoundThatTheStoreWasSilent) {
+TEST_F(PrefixMirrorTest, LongWatchIsRestartedAfterAnOutageSeenByAShortOne) {
   MirrorOptions patient;
-  patient.watch_patience = absl::Seconds(17);
+  patient.watch_timeout = absl::Seconds(17);
   PrefixMirror other(
       loop_.context(), *client_, "q/", [](const StoreChange&) {}, [](bool, StoreStatus) {},
       patient);
@@ -158,19 +156,19 @@
   EXPECT_TRUE(RunUntilFor([&] { return other.items().at("q/a").value == "2"; }, absl::Seconds(3)));
 }
 
-TEST_F(PrefixMirrorTest, SlowStoreIsNoLostOneForLong) {
+TEST_F(PrefixMirrorTest, SlowStoreBecomesReachableAgain) {
   stand_in_.Put("p/a", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }));
-  stand_in_.faults().delay = absl::Milliseconds(900);  // More than an answer may take at first.
+  stand_in_.faults().delay = absl::Milliseconds(900);  // Exceeds the initial reply timeout.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Put("p/a", "2");
-  ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "2") && reachable_; }));
+  ASSERT_TRUE(RunUntil([&] { return HasValue("p/a", "2") && reachable_; }));
   EXPECT_FALSE(RunUntilFor([&] { return !reachable_; }, absl::Seconds(4)))
       << "it has learned how slow the store is";
 }
 
-TEST_F(PrefixMirrorTest, WaitThatIsToldIsThatOfTheCallThatTold) {
+TEST_F(PrefixMirrorTest, ReportsDurationOfTheCallThatChangedReachability) {
   std::vector<absl::Duration> waits;
   std::unique_ptr<PrefixMirror> other;
   other = std::make_unique<PrefixMirror>(
@@ -180,19 +178,19 @@
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }))
       << "a reading and a watch that waits";
   RunUntilFor([] { return false; }, absl::Milliseconds(600));
-  other->Refresh();  // Another call of this mirror, beside the watch.
+  other->Refresh();  // A second call, in parallel to the watch.
   RunUntilFor([] { return false; }, absl::Milliseconds(100));
-  EXPECT_GE(other->Waiting().value_or(absl::ZeroDuration()), absl::Milliseconds(600));
+  EXPECT_GE(other->PendingCallTime().value_or(absl::ZeroDuration()), absl::Milliseconds(600));
   stand_in_.ResetWaiting();
   ASSERT_TRUE(RunUntil([&] { return waits.size() >= 2; }));
   EXPECT_GE(waits[1], absl::Milliseconds(600)) << "the watch's, not an earlier call's";
 }
 
-TEST_F(PrefixMirrorTest, StoreThatEndsWatchesEarlyIsNotAskedWithoutPause) {
+TEST_F(PrefixMirrorTest, PausesBetweenWatchesThatEndEarly) {
   stand_in_.Put("p/a", "1");
   stand_in_.faults().hasty = true;
   stand_in_.faults().delay =
-      absl::Milliseconds(2);  // So that the loop of a test that fails ends its rounds.
+      absl::Milliseconds(2);  // Lets the loop end its rounds if the test fails.
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() >= 2; }));
   std::uint64_t calls = client_->calls();
@@ -200,38 +198,38 @@
   EXPECT_LE(client_->calls(), calls + 6) << "each 0.2 s";
 }
 
-TEST_F(PrefixMirrorTest, MirrorThatBeginsToWatchTellsAnewWhetherTheStoreAnswers) {
-  int told = 0;
+TEST_F(PrefixMirrorTest, ReportsReachabilityAgainWhenWatchingStarts) {
+  int notifications = 0;
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {},
-      [&](bool reachable, StoreStatus) { told += reachable ? 1 : 0; });
+      [&](bool reachable, StoreStatus) { notifications += reachable ? 1 : 0; });
   other.SetWatching(false);
   other.Start();
-  ASSERT_TRUE(RunUntil([&] { return told == 1; })) << "by its first reading";
+  ASSERT_TRUE(RunUntil([&] { return notifications == 1; })) << "after the first read";
   other.SetWatching(true);
-  EXPECT_TRUE(RunUntilFor([&] { return told == 2; }, absl::Milliseconds(700)))
+  EXPECT_TRUE(RunUntilFor([&] { return notifications == 2; }, absl::Milliseconds(700)))
       << "at once, not when something changes";
 }
 
-TEST_F(PrefixMirrorTest, ForgottenHistoryIsNotReadAnewByOneThatNeedNotWatchAnyMore) {
+TEST_F(PrefixMirrorTest, UnwatchedMirrorDoesNotReadAgainAfterCompaction) {
   stand_in_.Put("p/a", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return client_->calls() == 2; })) << "a range and a watch that waits";
   stand_in_.faults().down = true;
-  stand_in_.Put("p/a", "2");  // Ends the watch, with a failure; the next one asks again.
+  stand_in_.Put("p/a", "2");  // The watch ends with a failure and is retried.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Compact();
   stand_in_.faults().down = false;
   mirror_->SetWatching(false);
   std::uint64_t calls = client_->calls();
   RunUntilFor([&] { return false; }, absl::Milliseconds(1200));
-  EXPECT_LE(client_->calls(), calls + 1) << "a try under way, and no whole reading";
+  EXPECT_LE(client_->calls(), calls + 1) << "at most a pending call, but no full read";
   EXPECT_TRUE(mirror_->complete());
   mirror_->SetWatching(true);
-  EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "2"); }));
+  EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", "2"); }));
 }
 
-TEST_F(PrefixMirrorTest, ManyRemovalsAreForgottenAndAPeerThatIsBehindStillLosesThem) {
+TEST_F(PrefixMirrorTest, PeerBehindPrunedRemovalsGetsAFullDelta) {
   PrefixMirror other(
       loop_.context(), *client_, "p/", [](const StoreChange&) {}, [](bool, StoreStatus) {});
   constexpr int kRemoved = 1300;
@@ -240,7 +238,7 @@
   }
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return mirror_->items().size() == kRemoved; }));
-  other.TakeDelta(mirror_->ChangesSince(0));
+  other.ApplyDelta(mirror_->ChangesSince(0));
   ASSERT_EQ(other.items().size(), static_cast<std::size_t>(kRemoved));
   for (int number = 0; number < kRemoved; ++number) {
     stand_in_.Remove("p/" + std::to_string(number));
@@ -249,27 +247,27 @@
   mirror_delta delta = mirror_->ChangesSince(other.last_change());
   EXPECT_TRUE(delta.m_full);
   EXPECT_LE(delta.m_removals.size(), 1000U);
-  other.TakeDelta(delta);
+  other.ApplyDelta(delta);
   EXPECT_TRUE(other.items().empty());
 }
 
-TEST_F(PrefixMirrorTest, ForgottenHistoryIsReadAnewAndWhatIsMissingIsGone) {
+TEST_F(PrefixMirrorTest, ReadsAllKeysAgainAfterCompaction) {
   stand_in_.Put("p/a", "1");
   stand_in_.Put("p/b", "1");
   mirror_->Start();
   ASSERT_TRUE(RunUntil([&] { return mirror_->items().size() == 2; }));
   stand_in_.faults().down = true;
-  stand_in_.Put("p/a", "1");  // Ends the watch that waits.
+  stand_in_.Put("p/a", "1");  // Ends the pending watch.
   ASSERT_TRUE(RunUntil([&] { return !reachable_; }));
   stand_in_.Put("p/a", "2");
   stand_in_.Remove("p/b");
   stand_in_.Compact();
-  EXPECT_EQ(mirror_->items().size(), 2U) << "silence is no removal";
+  EXPECT_EQ(mirror_->items().size(), 2U) << "an unreachable store must not remove keys";
   stand_in_.faults().down = false;
-  EXPECT_TRUE(RunUntil([&] { return Holds("p/a", "2") && mirror_->items().size() == 1; }));
+  EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", "2") && mirror_->items().size() == 1; }));
 }
 
-TEST_F(PrefixMirrorTest, EveryFaultEndsAndTheLatestValueArrives) {
+TEST_F(PrefixMirrorTest, IsUpToDateAfterEachFault) {
   struct FaultCase {
     const char* name;
     bool emulator::StoreFaults::*fault;
@@ -280,7 +278,7 @@
                                    {"lose answers", &emulator::StoreFaults::lose_answers}};
   stand_in_.Put("p/a", "0");
   mirror_->Start();
-  ASSERT_TRUE(RunUntil([&] { return Holds("p/a", "0"); }));
+  ASSERT_TRUE(RunUntil([&] { return HasValue("p/a", "0"); }));
   int version = 0;
   for (const FaultCase& test : kFaults) {
     stand_in_.faults().*test.fault = true;
@@ -289,35 +287,35 @@
     stand_in_.Put("p/a", value);
     RunUntil([&] { return stand_in_.calls() > calls + 1; });
     stand_in_.faults().*test.fault = false;
-    EXPECT_TRUE(RunUntil([&] { return Holds("p/a", value); })) << test.name;
+    EXPECT_TRUE(RunUntil([&] { return HasValue("p/a", value); })) << test.name;
   }
 }
 
-/// A store that answers when the test says so.
+/// A store that replies when the test tells it to.
 class ScriptedStore : public MetadataStore {
  public:
-  template <typename Answer>
+  template <typename Reply>
   struct Pending {
     explicit Pending(async_http::asio::io_context& context) : given(context) {}
-    void Give(Answer value) {
-      answer = std::move(value);
+    void Give(Reply value) {
+      reply = std::move(value);
       given.Notify();
     }
     Revision after = 0;
     async_http::Signal given;
-    std::optional<Answer> answer;
+    std::optional<Reply> reply;
   };
 
   explicit ScriptedStore(async_http::asio::io_context& context) : context_(context) {}
 
-  async_http::Task<ReadAnswer> Get(std::string /*key*/) override { co_return ReadAnswer{}; }
-  async_http::Task<ReadAnswer> Range(std::string /*prefix*/) override {
-    ranges.push_back(std::make_shared<Pending<ReadAnswer>>(context_));
+  async_http::Task<ReadResult> Get(std::string /*key*/) override { co_return ReadResult{}; }
+  async_http::Task<ReadResult> Range(std::string /*prefix*/) override {
+    ranges.push_back(std::make_shared<Pending<ReadResult>>(context_));
     return AnswerOf(ranges.back());
   }
-  async_http::Task<WatchAnswer> Watch(std::string /*prefix*/, Revision after,
-                                      absl::Duration /*patience*/) override {
-    watches.push_back(std::make_shared<Pending<WatchAnswer>>(context_));
+  async_http::Task<WatchResult> Watch(std::string /*prefix*/, Revision after,
+                                      absl::Duration /*timeout*/) override {
+    watches.push_back(std::make_shared<Pending<WatchResult>>(context_));
     watches.back()->after = after;
     return AnswerOf(watches.back());
   }
@@ -326,26 +324,26 @@
   }
   std::uint64_t calls() const override { return ranges.size() + watches.size(); }
 
-  std::vector<std::shared_ptr<Pending<ReadAnswer>>> ranges;
-  std::vector<std::shared_ptr<Pending<WatchAnswer>>> watches;
+  std::vector<std::shared_ptr<Pending<ReadResult>>> ranges;
+  std::vector<std::shared_ptr<Pending<WatchResult>>> watches;
 
  private:
   template <typename Kind>
   static async_http::Task<Kind> AnswerOf(std::shared_ptr<Pending<Kind>> pending) {
-    while (!pending->answer) {
-      co_await pending->given.Wait(kPatience);
+    while (!pending->reply) {
+      co_await pending->given.Wait(kTimeout);
     }
-    co_return *pending->answer;
+    co_return *pending->reply;
   }
 
   async_http::asio::io_context& context_;
 };
 
-ReadAnswer Reading(Revision revision, std::vector<StoreItem> items) {
+ReadResult Reading(Revision revision, std::vector<StoreItem> items) {
   return {StoreStatus::kDone, std::move(items), revision};
 }
 
-WatchAnswer Watched(Revision revision, std::vector<StoreChange> changes) {
+WatchResult Watched(Revision revision, std::vector<StoreChange> changes) {
   return {StoreStatus::kDone, std::move(changes), revision};
 }
 
@@ -365,7 +363,7 @@
         options);
   }
   bool RunUntil(const std::function<bool()>& condition) {
-    for (absl::Time end = SteadyNow() + kPatience; SteadyNow() < end;) {
+    for (absl::Time end = SteadyNow() + kTimeout; SteadyNow() < end;) {
       if (condition()) {
         return true;
       }
@@ -373,7 +371,7 @@
     }
     return condition();
   }
-  /// Starts a mirror that knows p/a of revision 2 and watches on from revision 3.
+  /// Starts a mirror that has p/a at revision 2 and watches from revision 3.
   Mirror StartedMirror() {
     Mirror mirror = MakeMirror();
     mirror->Start();
@@ -385,19 +383,16 @@
 
   wire::EventLoop loop_;
   ScriptedStore store_{loop_.context()};
-  std::vector<Mirror> kept_;  ///< Their coroutines run until the loop is destroyed.
+  /// Must outlive their coroutines, which run until the loop is destroyed.
+  std::vector<Mirror> all_mirrors_;
 };
 
-// Symptom: a key that was removed came back at a gateway, and stayed until everything was read
-// anew. Sequence: a key is written and removed; the answer of a watch or of a reading from between
-// the two arrives after a newer reading, or a peer's whole copy, that has the key no more. Cause:
-// of the newer copy only the keys stayed, not what it says of all others; the late answer's key was
-// new, and the next watch went on from the newer revision, after the removal. What settled it: the
-// same answers in the order of their revisions.
-TEST_F(ScriptedMirrorTest, LateAnswerBringsNoKeyBackThatANewerCopyNoLongerHas) {
+// Guards against a removed key reappearing when a reply from before the removal arrives after a
+// newer full read or a peer's full delta.
+TEST_F(ScriptedMirrorTest, LateReplyDoesNotRestoreARemovedKey) {
   struct LateCase {
     const char* name;
-    std::function<void(PrefixMirror&)> newer_copy_then_late_answer;
+    std::function<void(PrefixMirror&)> newer_state_then_late_reply;
   };
   const StoreChange put{"p/k", "late", 5};
   const LateCase cases[] = {
@@ -410,9 +405,9 @@
          ASSERT_TRUE(RunUntil([&] { return store_.watches.size() == 2; }));
          EXPECT_EQ(store_.watches[1]->after, 9U);
        }},
-      {"a watch after a peer's whole copy",
+      {"a watch after a peer's full delta",
        [&](PrefixMirror& mirror) {
-         mirror.TakeDelta(FullDelta(9, {{"p/a", "1", 2}, {"p/b", "1", 9}}));
+         mirror.ApplyDelta(FullDelta(9, {{"p/a", "1", 2}, {"p/b", "1", 9}}));
          store_.watches[0]->Give(Watched(5, {put}));
          ASSERT_TRUE(RunUntil([&] { return store_.watches.size() == 2; }));
        }},
@@ -420,8 +415,8 @@
        [&](PrefixMirror& mirror) {
          mirror.Refresh();
          ASSERT_TRUE(RunUntil([&] { return store_.ranges.size() == 2; }));
-         WatchAnswer gone;
-         gone.status = StoreStatus::kHistoryGone;
+         WatchResult gone;
+         gone.status = StoreStatus::kCompacted;
          store_.watches[0]->Give(gone);
          ASSERT_TRUE(RunUntil([&] { return store_.ranges.size() == 3; }));
          store_.ranges[2]->Give(Reading(12, {{"p/a", "1", 2}}));
@@ -435,20 +430,16 @@
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror* mirror = &kept_.emplace_back(StartedMirror());
-    test.newer_copy_then_late_answer(**mirror);
+    Mirror* mirror = &all_mirrors_.emplace_back(StartedMirror());
+    test.newer_state_then_late_reply(**mirror);
     EXPECT_FALSE((*mirror)->items().contains("p/k"));
     EXPECT_TRUE((*mirror)->items().contains("p/a"));
   }
 }
 
-// Symptom: a gateway that lives by what its peers tell kept a key that was removed, for good.
-// Sequence: the peer it asks has replaced its own copy as a whole, by a reading that is older than
-// a removal it had heard of, or by another peer's whole copy; then something else changes. Cause:
-// the peer forgot the removals it knew, or never learned of them, and yet told "what changed since"
-// as if it knew them all. What settled it: the peer's answer was told to be no whole copy, and
-// named no removal.
-TEST_F(ScriptedMirrorTest, PeerToldByACopyThatWasReplacedAsAWholeLosesWhatWasRemoved) {
+// Guards against a peer keeping a removed key: a mirror whose state was replaced by a full read or
+// a full delta must not send a partial delta that lacks removals.
+TEST_F(ScriptedMirrorTest, PeerOfAReplacedMirrorRemovesKeys) {
   struct ReplacedCase {
     const char* name;
     std::function<void(PrefixMirror&)> replace;
@@ -465,35 +456,30 @@
          store_.watches[1]->Give(Watched(13, {{"p/b", "1", 13}}));
          ASSERT_TRUE(RunUntil([&] { return store_.watches.size() == 3; }));
        }},
-      {"by a peer's whole copy",
+      {"by a peer's full delta",
        [&](PrefixMirror& mirror) {
-         mirror.TakeDelta(FullDelta(13, {{"p/a", "1", 2}, {"p/b", "1", 13}}));
+         mirror.ApplyDelta(FullDelta(13, {{"p/a", "1", 2}, {"p/b", "1", 13}}));
        }},
   };
   for (const ReplacedCase& test : cases) {
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror* teller = &kept_.emplace_back(StartedMirror());
-    Mirror asker = MakeMirror();
-    asker->TakeDelta(FullDelta(10, {{"p/a", "1", 2}, {"p/k", "1", 5}, {"p/c", "1", 10}}));
-    test.replace(**teller);
-    asker->TakeDelta((*teller)->ChangesSince(asker->last_change()));
-    EXPECT_EQ(asker->last_change(), 13U);
-    EXPECT_TRUE(asker->items().contains("p/b"));
-    EXPECT_FALSE(asker->items().contains("p/k"));
+    Mirror* sender = &all_mirrors_.emplace_back(StartedMirror());
+    Mirror requester = MakeMirror();
+    requester->ApplyDelta(FullDelta(10, {{"p/a", "1", 2}, {"p/k", "1", 5}, {"p/c", "1", 10}}));
+    test.replace(**sender);
+    requester->ApplyDelta((*sender)->ChangesSince(requester->last_change()));
+    EXPECT_EQ(requester->last_change(), 13U);
+    EXPECT_TRUE(requester->items().contains("p/b"));
+    EXPECT_FALSE(requester->items().contains("p/k"));
   }
 }
 
-// Symptom: a gateway that had just started took a few keys for the whole configuration, and asked
-// for no more.
-// Sequence: a gateway tells what it knows, ends and starts again at its address; a peer then sends
-// what changed since.
-// Cause: changes since a revision that the former process knew were taken by one that knew nothing,
-// and made its copy count as whole.
-// What settled it: the same changes told to the process that had asked for them.
-TEST_F(ScriptedMirrorTest, ChangesForAnEarlierProcessAreNoWholeCopy) {
-  const mirror_delta since_20{21, false, {{"p/new", "1", 21}}, {{"p/old", 21}}};
+// Guards against a restarted process taking a partial delta, meant for its predecessor at the same
+// address, for the complete state.
+TEST_F(ScriptedMirrorTest, PartialDeltaForAnEarlierProcessIsIgnored) {
+  const mirror_delta delta_since_20{21, false, {{"p/new", "1", 21}}, {{"p/old", 21}}};
   struct StartCase {
     const char* name;
     bool has_read;
@@ -503,18 +489,18 @@
     SCOPED_TRACE(test.name);
     store_.ranges.clear();
     store_.watches.clear();
-    Mirror& mirror = kept_.emplace_back(MakeMirror());
+    Mirror& mirror = all_mirrors_.emplace_back(MakeMirror());
     if (test.has_read) {
       mirror->Start();
       ASSERT_TRUE(RunUntil([&] { return store_.ranges.size() == 1; }));
       store_.ranges[0]->Give(Reading(3, {}));
       ASSERT_TRUE(RunUntil([&] { return mirror->complete(); }));
     }
-    mirror->TakeDelta(since_20);
+    mirror->ApplyDelta(delta_since_20);
     EXPECT_EQ(mirror->complete(), test.has_read);
     EXPECT_EQ(mirror->last_change(), 0U) << "it asks again, from the beginning";
     EXPECT_TRUE(mirror->items().empty());
-    mirror->TakeDelta(FullDelta(21, {{"p/a", "1", 2}, {"p/new", "1", 21}}));
+    mirror->ApplyDelta(FullDelta(21, {{"p/a", "1", 2}, {"p/new", "1", 21}}));
     EXPECT_TRUE(mirror->complete());
     EXPECT_EQ(mirror->items().size(), 2U);
   }
--- a/tests/wire/transport_test.cc
+++ b/tests/wire/transport_test.cc
@@ -1,4 +1,4 @@
-// Frames between peers: what waits is bounded over all peers, and no connection's bytes outlive it.
+// Tests that the send queue is bounded over all peers, and that bytes never cross connections.
 #include "wire/transport.h"
 
 #include <arpa/inet.h>
@@ -18,10 +18,10 @@
 namespace martenyard::wire {
 namespace {
 
-/// Listens on loopback and never accepts.
-class DeafPeer {
+/// Listens on loopback without accepting connections.
+class NonAcceptingPeer {
  public:
-  DeafPeer() : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
+  NonAcceptingPeer() : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
     address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -31,7 +31,7 @@
     getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &size);
     endpoint_ = {"127.0.0.1", ntohs(address.sin_port)};
   }
-  ~DeafPeer() { close(socket_); }
+  ~NonAcceptingPeer() { close(socket_); }
   const Endpoint& endpoint() const { return endpoint_; }
 
  private:
@@ -39,10 +39,10 @@
   Endpoint endpoint_;
 };
 
-constexpr absl::Duration kPatience = absl::Seconds(20);
+constexpr absl::Duration kTimeout = absl::Seconds(20);
 
 bool RunUntil(EventLoop& loop, const std::function<bool()>& condition) {
-  for (absl::Time end = SteadyNow() + kPatience; SteadyNow() < end;) {
+  for (absl::Time end = SteadyNow() + kTimeout; SteadyNow() < end;) {
     if (condition()) {
       return true;
     }
@@ -51,7 +51,7 @@
   return condition();
 }
 
-/// A connection that sends what a test says, whole frames or not.
+/// A connection that sends arbitrary bytes, also incomplete frames.
 class RawPeer {
  public:
   explicit RawPeer(const Endpoint& to) : socket_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
@@ -81,7 +81,7 @@
   return std::string(reinterpret_cast<const char*>(&length), sizeof(length)) + payload;
 }
 
-TEST(TransportTest, HalfFrameIsNeverJoinedToAnotherConnectionsBytes) {
+TEST(TransportTest, IncompleteFrameIsNotJoinedWithAnotherConnectionsBytes) {
   EventLoop loop;
   std::vector<std::string> frames;
   Transport transport(
@@ -89,10 +89,10 @@
       [](const std::string&) {}, [](const Endpoint&, absl::Time) {});
   auto bound = transport.Listen({"127.0.0.1", 0});
   ASSERT_TRUE(bound);
-  std::string whole = FrameOf("first-of-the-old");
+  std::string complete = FrameOf("first-of-the-old");
   std::string half = FrameOf(std::string(40, 'o')).substr(0, 24);
   RawPeer old_connection(*bound);
-  old_connection.Send(whole + half);
+  old_connection.Send(complete + half);
   ASSERT_TRUE(RunUntil(loop, [&] { return frames.size() == 1; }));
   RawPeer new_connection(*bound);
   new_connection.Send(FrameOf("of-the-new"));
@@ -105,7 +105,7 @@
 
 TEST(TransportTest, UnsentBytesOfABrokenConnectionAreNotSentOnTheNextOne) {
   EventLoop loop;
-  // Between two connections nothing else is watched, and the loop would end.
+  // Keeps the loop running while no connection is open.
   auto guard = boost::asio::make_work_guard(loop.context());
   std::vector<std::string> frames;
   Transport sender(
@@ -113,9 +113,9 @@
       [](const Endpoint&, absl::Time) {});
   Endpoint endpoint;
   {
-    DeafPeer deaf;
-    endpoint = deaf.endpoint();
-    // More than the sockets' buffers hold: some of a frame has left, the rest waits.
+    NonAcceptingPeer non_accepting;
+    endpoint = non_accepting.endpoint();
+    // Exceeds the socket buffers, so that a frame is sent only in part.
     for (int frame = 0; frame < 32; ++frame) {
       sender.SendFrame(endpoint, std::string(std::size_t{1} << 20U, 'o'));
     }
@@ -136,19 +136,19 @@
   EXPECT_EQ(frames.front(), "new");
 }
 
-TEST(TransportTest, WhatWaitsForAllPeersTogetherIsBounded) {
+TEST(TransportTest, UnsentBytesOfAllPeersAreBounded) {
   constexpr std::size_t kLimit = std::size_t{4} << 20U;
   constexpr std::size_t kFrame = std::size_t{1} << 20U;
   EventLoop loop;
   Transport transport(
       loop, [](const std::string&) {}, [](const std::string&) {},
       [](const Endpoint&, absl::Time) {});
-  transport.LimitUnsent(kLimit);
-  std::vector<DeafPeer> peers(8);
+  transport.SetUnsentLimit(kLimit);
+  std::vector<NonAcceptingPeer> peers(8);
   std::string payload(kFrame, 'x');
   std::size_t most = 0;
   for (int round = 0; round < 40; ++round) {
-    for (const DeafPeer& peer : peers) {
+    for (const NonAcceptingPeer& peer : peers) {
       transport.SendFrame(peer.endpoint(), payload);
       most = std::max(most, transport.unsent());
     }
@@ -157,7 +157,7 @@
   EXPECT_LE(most, kLimit + 64);
   EXPECT_GT(transport.stats().frames_dropped, 0U) << "dropped and counted, not queued";
   std::size_t waiting = 0;
-  for (const DeafPeer& peer : peers) {
+  for (const NonAcceptingPeer& peer : peers) {
     waiting += transport.Unsent(peer.endpoint());
   }
   EXPECT_EQ(waiting, transport.unsent());
