--- a/tests/event_log/event_log_test.cc
+++ b/tests/event_log/event_log_test.cc
@@ -70,7 +70,7 @@
   }
   text += pipe.ReadAll();
   EXPECT_NE(text.find("\"event\":\"log_dropped\""), std::string::npos);
-  EXPECT_EQ(text.back(), '\n') << "only whole lines are written";
+  EXPECT_EQ(text.back(), '\n') << "only complete lines are written";
 }
 
 }  // namespace
