--- a/src/discovery/health/failure_estimate.h
+++ b/src/discovery/health/failure_estimate.h
@@ -1,8 +1,8 @@
-// How likely a runner is to lose a request, from what became of the requests that it got lately.
+// Estimates the probability that a runner fails a request from the outcomes of recent requests.
 //
-// A runner that loses every request shows at once; one that loses a few in a hundred shows only where
-// the observations of all gateways are put together. Old observations fade, so that a runner that has
-// recovered is tried again. Decision code: no I/O, no clock.
+// Low failure rates are detected only by combining the observations of all gateways. Observations
+// decay exponentially, so that a runner that has recovered is used again. Decision logic: no I/O, no
+// clock.
 #pragma once
 
 #include <chrono>
@@ -11,24 +11,24 @@
 namespace martenyard::discovery
 {
 
-/// @brief requests that ended at a runner, by how
+/// @brief counts of completed and failed requests of a runner
 struct request_outcomes
 {
     std::uint32_t m_served = 0;
-    /// sent, and no whole answer came
+    /// sent, but no complete response was received
     std::uint32_t m_lost = 0;
 };
 
-/// @brief named knobs
+/// @brief tuning parameters
 struct failure_estimate_options
 {
-    /// an observation counts half after this time
+    /// half-life of an observation's weight
     std::chrono::milliseconds m_half_life{3000};
-    /// served requests that every runner is credited with: little is known of one without them
+    /// served requests that every runner starts with, so that a few failures weigh less
     double m_credit = 4;
 };
 
-/// @brief one runner's share of lost requests
+/// @brief decaying estimate of one runner's failure rate
 class failure_estimate
 {
   public:
@@ -36,14 +36,14 @@
 
     explicit failure_estimate(const failure_estimate_options& options = {});
 
-    /// @brief takes what this gateway saw, or what a peer told
+    /// @brief adds outcomes observed by this gateway or reported by a peer
     void note(instant now, const request_outcomes& outcomes);
 
-    /// @return the share of requests that the runner is expected to lose, 0 to 1
+    /// @return the expected share of failed requests, from 0 to 1
     double rate(instant now) const;
 
   private:
-    /// @return what is left of an observation's weight since the last note
+    /// @return the decay factor since the last update
     double faded(instant now) const;
 
     failure_estimate_options m_options;
--- a/src/discovery/runner.h
+++ b/src/discovery/runner.h
@@ -1,4 +1,4 @@
-// A runner: a server that works on the requests of one service.
+// A runner: a server that processes the requests of one service.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace martenyard::discovery {
 
-/// One start of a runner; addresses are reused, ids are not.
+/// Identifies a runner; unlike its address, an id is not reused by another runner.
 using RunnerId = TypedId<struct RunnerTag, std::string>;
 
 struct Runner {
@@ -21,8 +21,8 @@
   ZoneName zone;
   std::uint32_t slots = 1;
   bool draining = false;
-  /// When it started, by its own clock: another time under the same id is another start. The epoch:
-  /// it doesn't tell.
+  /// Start time by the runner's own clock; a different time under the same id means a restart. The
+  /// Unix epoch if not reported.
   absl::Time started = absl::UnixEpoch();
 };
 
--- a/src/discovery/runner_table.cc
+++ b/src/discovery/runner_table.cc
@@ -13,7 +13,7 @@
                        runner.started != absl::UnixEpoch() &&
                        state.runner.started != runner.started;
   if (started_again) {
-    // Requests under way have not ended yet: they are counted until they do.
+    // Requests in flight to the previous process are counted until they end.
     RunnerState fresh;
     fresh.own_active = state.own_active;
     fresh.peers_active = state.peers_active;
--- a/src/discovery/runner_table.h
+++ b/src/discovery/runner_table.h
@@ -1,4 +1,4 @@
-// The runners a gateway knows, with what it has seen of each. Decision code: no I/O, no clock.
+// The runners known to a gateway and their observed health. Decision logic: no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +13,25 @@
 
 namespace martenyard::discovery {
 
-/// Tunables of a runner's health as seen from traffic.
+/// Tuning parameters of passive health checks.
 struct HealthOptions {
-  int failures_to_avoid = 2;  ///< In a row.
+  int failures_to_avoid = 2;  ///< Consecutive failures before a runner is avoided.
   absl::Duration first_avoidance = absl::Milliseconds(500);
   absl::Duration longest_avoidance = absl::Seconds(4);
-  absl::Duration full_pause = absl::Milliseconds(60);  ///< After it turned a request away.
+  absl::Duration full_pause = absl::Milliseconds(60);  ///< After it rejected a request as full.
 };
 
-/// A runner and its present state.
+/// A runner and its current state.
 struct RunnerState {
   Runner runner;
-  std::uint32_t short_id = 0;  ///< A hash of the id, as peers name it in load reports.
-  bool gone = false;           ///< Its entry is no longer listed.
-  absl::Time left_at = absl::InfiniteFuture();  ///< When it was first known to be leaving.
-  std::uint32_t own_active = 0;                 ///< Requests of this gateway at it now.
-  std::uint32_t peers_active = 0;               ///< Requests of other gateways, as last reported.
+  std::uint32_t short_id = 0;                   ///< Hash of the id; identifies it in load reports.
+  bool gone = false;                            ///< Removed from the directory.
+  absl::Time left_at = absl::InfiniteFuture();  ///< When it was first seen draining.
+  std::uint32_t own_active = 0;                 ///< Requests in flight from this gateway.
+  std::uint32_t peers_active = 0;  ///< Requests in flight from other gateways, as last reported.
   int failures_in_a_row = 0;
-  failure_estimate losses;      ///< Of requests, as seen by this gateway and by its peers.
-  request_outcomes unreported;  ///< Seen by this gateway, not told to its peers yet.
+  failure_estimate losses;      ///< As observed by this gateway and its peers.
+  request_outcomes unreported;  ///< Observed here, not yet reported to peers.
   absl::Time avoid_until = absl::InfinitePast();
   absl::Time full_until = absl::InfinitePast();
 
@@ -39,32 +39,32 @@
   std::uint32_t Active() const { return own_active + peers_active; }
 };
 
-/// How one request at a runner ended, for its health.
+/// Outcome of a request, as used for the runner's health.
 enum class RunnerSignal {
   kServed,
-  kTurnedAway,   ///< It was full.
-  kFailed,       ///< Broke off, hung, or sent bytes that are no answer.
-  kUnreachable,  ///< No connection.
-  kLeaves,       ///< It asked to close the connection or is another by now.
+  kTurnedAway,   ///< Rejected because the runner was full.
+  kFailed,       ///< Truncated, timed out or malformed response.
+  kUnreachable,  ///< Connection failed.
+  kLeaves,       ///< Asked to close the connection, or was replaced by another runner.
 };
 
 class RunnerTable {
  public:
   explicit RunnerTable(const HealthOptions& options = {}) : options_(options) {}
 
-  /// Takes what a runner tells of itself. @return true when it has started again since it was
-  /// known: it keeps nothing of before.
+  /// Adds or updates a runner. @return true if it has restarted: its observed health is reset.
   bool Upsert(absl::Time now, const Runner& runner);
-  /// The entry was removed: the runner leaves, or the list lost it.
+  /// Marks a runner as removed from the directory.
   void Remove(absl::Time now, const RunnerId& id);
   void Note(absl::Time now, const RunnerId& id, RunnerSignal signal);
-  /// What became of a request of this gateway, for the runner's share of lost ones.
+  /// Adds outcomes of this gateway's requests to the runner's failure estimate.
   void NoteOutcome(const RunnerId& id, const request_outcomes& outcome);
-  /// Drops runners that left `keep` ago and have nothing of ours.
+  /// Erases removed runners that left more than `keep` ago and have no requests in flight from
+  /// here.
   void Prune(absl::Time now, absl::Duration keep);
 
   RunnerState* Find(const RunnerId& id);
-  /// @return the runner that load reports name so, or null.
+  /// @return the runner with this short id, or null.
   RunnerState* FindShort(std::uint32_t short_id);
   std::vector<RunnerState*> OfService(const forwarding::ServiceName& service);
   std::map<RunnerId, RunnerState>& all() { return runners_; }
--- a/tests/discovery/failure_estimate_test.cc
+++ b/tests/discovery/failure_estimate_test.cc
@@ -1,4 +1,3 @@
-// The share of requests that a runner is expected to lose.
 #include "discovery/health/failure_estimate.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(FailureEstimateTest, RunnerThatLosesAllShowsAfterTwoAndIsTriedAgainLater) {
+TEST(FailureEstimateTest, TwoFailuresRaiseTheRateAndItDecays) {
   failure_estimate estimate;
   failure_estimate::instant now{milliseconds(100000)};
   EXPECT_EQ(estimate.rate(now), 0.0);
@@ -18,7 +17,7 @@
   EXPECT_LT(estimate.rate(now + milliseconds(15000)), 0.02);
 }
 
-TEST(FailureEstimateTest, FewLostAmongManyGiveTheirShare) {
+TEST(FailureEstimateTest, ConvergesToTheFailureRate) {
   failure_estimate estimate;
   failure_estimate::instant now{milliseconds(100000)};
   for (int round = 0; round < 100; ++round) {
@@ -30,10 +29,10 @@
     now += milliseconds(100);
     estimate.note(now, {20, 0});
   }
-  EXPECT_LT(estimate.rate(now), 0.01) << "it has recovered";
+  EXPECT_LT(estimate.rate(now), 0.01) << "the runner has recovered";
 }
 
-RC_GTEST_PROP(FailureEstimatePropertyTest, RateIsAShareAndNeverGrowsByWaiting, ()) {
+RC_GTEST_PROP(FailureEstimatePropertyTest, RateIsBelowOneAndNeverIncreasesOverTime, ()) {
   failure_estimate estimate;
   failure_estimate::instant now{milliseconds(100000)};
   auto steps = *rc::gen::inRange(1, 30);
--- a/tests/discovery/runner_table_test.cc
+++ b/tests/discovery/runner_table_test.cc
@@ -14,7 +14,7 @@
 
 const absl::Time kNow = absl::FromUnixSeconds(1000);
 
-TEST(RunnerTableTest, DrainingAndGoneRunnersLeaveAtTheFirstSign) {
+TEST(RunnerTableTest, LeftAtIsTheTimeOfTheFirstDrainingOrRemoval) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   EXPECT_FALSE(table.Find(RunnerId("a"))->Leaving());
@@ -26,9 +26,8 @@
   EXPECT_EQ(table.Find(RunnerId("a"))->left_at, kNow + absl::Seconds(1));
 }
 
-// A runner may start again under its id. It knows nothing of before, and what was seen of it before
-// tells nothing of it now.
-TEST(RunnerTableTest, RunnerThatStartedAgainIsKnownAfresh) {
+// Guards against applying the health of a previous process to a runner restarted under the same id.
+TEST(RunnerTableTest, RestartResetsHealth) {
   RunnerTable table;
   Runner runner = MakeRunner("a");
   runner.started = kNow - absl::Hours(1);
@@ -41,28 +40,28 @@
   table.Note(kNow, runner.id, RunnerSignal::kTurnedAway);
   table.Note(kNow, runner.id, RunnerSignal::kLeaves);
   state->own_active = 2;
-  EXPECT_FALSE(table.Upsert(kNow, runner)) << "the same start, told again";
+  EXPECT_FALSE(table.Upsert(kNow, runner)) << "same start time, no restart";
   runner.started = kNow;
   EXPECT_TRUE(table.Upsert(kNow, runner));
   EXPECT_LE(state->avoid_until, kNow);
   EXPECT_LE(state->full_until, kNow);
   EXPECT_EQ(state->failures_in_a_row, 0);
   EXPECT_EQ(state->losses.rate(std::chrono::steady_clock::now()), 0);
-  EXPECT_EQ(state->unreported.m_lost, 0U) << "peers would take it for the new one's";
+  EXPECT_EQ(state->unreported.m_lost, 0U) << "peers would attribute it to the restarted runner";
   EXPECT_FALSE(state->Leaving());
-  EXPECT_EQ(state->own_active, 2U) << "these requests have not ended yet";
+  EXPECT_EQ(state->own_active, 2U) << "these requests are still in flight";
 }
 
-TEST(RunnerTableTest, RunnerThatDoesNotTellItsStartIsTheSame) {
+TEST(RunnerTableTest, MissingStartTimeIsNoRestart) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   EXPECT_FALSE(table.Upsert(kNow, MakeRunner("a")));
   Runner told = MakeRunner("a");
   told.started = kNow;
-  EXPECT_FALSE(table.Upsert(kNow, told)) << "nothing is known of an earlier start";
+  EXPECT_FALSE(table.Upsert(kNow, told)) << "no earlier start time is known";
 }
 
-TEST(RunnerTableTest, EntryThatOnlyLapsedComesBackAsReady) {
+TEST(RunnerTableTest, ReaddedRunnerIsNotDraining) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   table.Remove(kNow, RunnerId("a"));
@@ -71,12 +70,12 @@
   EXPECT_FALSE(table.Find(RunnerId("a"))->Leaving());
 }
 
-TEST(RunnerTableTest, FailuresInARowAreAvoidedForLongerEachTimeAndOneSuccessEndsIt) {
+TEST(RunnerTableTest, ConsecutiveFailuresBackOffAndSuccessResets) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   RunnerState* state = table.Find(RunnerId("a"));
   table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
-  EXPECT_LE(state->avoid_until, kNow) << "one failure may be chance";
+  EXPECT_LE(state->avoid_until, kNow) << "a single failure does not exclude a runner";
   table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
   absl::Duration first = state->avoid_until - kNow;
   EXPECT_GT(first, absl::ZeroDuration());
@@ -86,14 +85,14 @@
   EXPECT_LE(state->avoid_until, kNow);
 }
 
-TEST(RunnerTableTest, UnreachableIsAvoidedAtOnce) {
+TEST(RunnerTableTest, UnreachableRunnerIsAvoidedImmediately) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   table.Note(kNow, RunnerId("a"), RunnerSignal::kUnreachable);
   EXPECT_GT(table.Find(RunnerId("a"))->avoid_until, kNow);
 }
 
-TEST(RunnerTableTest, PruneKeepsRunnersThatStillHaveOurRequests) {
+TEST(RunnerTableTest, PruneKeepsRunnersWithRequestsInFlight) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   table.Upsert(kNow, MakeRunner("b"));
