--- a/src/explain/explain.cc
+++ b/src/explain/explain.cc
@@ -14,10 +14,10 @@
 
 using nlohmann::json;
 
-/// Lines of other subjects this long before a request's first and after its last are told too.
+/// Context events up to this long before a request's first line are included.
 constexpr std::int64_t kSurroundingMicros = 1500000;
 
-/// Events that say what a process believed, whatever the request.
+/// Events on the state of a process, independent of any request.
 bool IsSurrounding(const std::string& event) {
   static const std::set<std::string> kEvents = {"started",
                                                 "stopping",
@@ -52,7 +52,7 @@
   return found->is_string() ? found->get<std::string>() : found->dump();
 }
 
-/// A line in words: its event and every field that is not common to all lines.
+/// Formats a line: time offset, node, event and the fields that are specific to the event.
 std::string Describe(const LogLine& line, std::int64_t start_us) {
   json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
   double ms = static_cast<double>(line.time_us - start_us) / 1000.0;
@@ -69,7 +69,7 @@
   return text.str();
 }
 
-/// Why the ledger, or the gateway in its place, refused a reservation at once.
+/// Why the ledger, or the gateway on its behalf, rejected a reservation without waiting.
 std::string CauseOfOverload(const std::string& gateway, const std::vector<LogLine>& around) {
   for (const LogLine& line : around) {
     json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
@@ -88,7 +88,7 @@
   return "the program's group had more than it could do, or was silent: refused, not run";
 }
 
-/// Why a tenant's limit, or nobody's answer about it, ended the request.
+/// Why the request was rejected by a tenant's rate limit or by a timeout of the quota check.
 std::string CauseOfQuota(const json& refusal) {
   if (Field(refusal, "known") == "false") {
     return absl::StrCat("nobody who counts the requests of tenant ", Field(refusal, "tenant"),
@@ -101,7 +101,7 @@
                       Field(refusal, "retry_after_ms"), " ms");
 }
 
-/// Why a gateway took no API keys.
+/// Why a gateway without a valid configuration lease rejected API keys.
 std::string CauseOfLease(const std::string& gateway, const std::string& detail,
                          const std::vector<LogLine>& around) {
   std::string cause = absl::StrCat(detail, ": refused, not run");
@@ -115,7 +115,7 @@
   return cause;
 }
 
-/// Which runners had a part in an answer that was passed on.
+/// Which runners contributed to a forwarded response.
 std::string CauseOfAnswer(const std::vector<LogLine>& own, const json& last) {
   std::string broken;
   json attempt;
@@ -138,7 +138,7 @@
                       ", under the head of runner ", Field(last, "head_of"), broken);
 }
 
-/// What the last attempt and the surroundings say of a refusal or a break.
+/// Derives the cause of the outcome from the request's lines and the context events.
 std::string CauseOf(const std::vector<LogLine>& own, const std::vector<LogLine>& around) {
   json last;
   json attempt;
@@ -251,7 +251,7 @@
     return account;
   }
   account.found = true;
-  // A process's own order counts: its clock may have been set between its lives.
+  // Lines of one process are ordered by sequence number, since its clock may have been adjusted.
   auto earlier = [](const LogLine& left, const LogLine& right) {
     if (left.node == right.node && left.sequence != right.sequence &&
         std::abs(left.time_us - right.time_us) < kSurroundingMicros) {
--- a/src/explain/explain.h
+++ b/src/explain/explain.h
@@ -1,4 +1,4 @@
-// Joins the decision lines of several processes into one account of what happened to a request.
+// Reconstructs what happened to a request from the event logs of several processes.
 #pragma once
 
 #include <cstdint>
@@ -7,28 +7,28 @@
 
 namespace martenyard::explain {
 
-/// One decision line, as far as an account needs it.
+/// One line of an event log.
 struct LogLine {
   std::string node;
-  std::int64_t time_us = 0;   ///< Steady within a process's life.
-  std::int64_t sequence = 0;  ///< Counts a process's lines.
+  std::int64_t time_us = 0;   ///< Monotonic while the process runs.
+  std::int64_t sequence = 0;  ///< Increases with each line of a process.
   std::string event;
-  std::string request;  ///< Empty for lines that concern no single request.
-  std::string text;     ///< The whole line, as JSON.
+  std::string request;  ///< Empty for lines that belong to no request.
+  std::string text;     ///< The complete line, as JSON.
 };
 
-/// Reads lines; whatever stands before a line's JSON is passed over, and so are unreadable lines.
+/// Parses event log lines. Text before a line's JSON object and lines without one are ignored.
 std::vector<LogLine> ReadLines(const std::string& text);
 
-/// What became of one request.
+/// The outcome of one request and its cause.
 struct Account {
   bool found = false;
-  std::vector<std::string> steps;  ///< In order: lines of the request and what surrounded it.
-  std::string outcome;             ///< As its gateway saw it; "unknown" without a last line.
-  std::string cause;               ///< In one sentence.
+  std::vector<std::string> steps;  ///< Ordered by time: lines of the request and context events.
+  std::string outcome;             ///< As logged by the gateway; "unknown" if not logged.
+  std::string cause;               ///< One sentence.
 };
 
-/// @param lines of any processes, in any order.
+/// @param lines lines of any processes, in any order.
 Account Explain(const std::vector<LogLine>& lines, const std::string& request);
 
 }  // namespace martenyard::explain
