--- a/apps/cli/explain_command.cc
+++ b/apps/cli/explain_command.cc
@@ -21,10 +21,10 @@
     if (!text) {
       return Complain(kExitUsage, "cannot read " + file);
     }
-    std::vector<explain::LogLine> more = explain::ReadLines(*text);
+    std::vector<explain::LogLine> more = explain::ParseLogLines(*text);
     lines.insert(lines.end(), more.begin(), more.end());
   }
-  explain::Account account = explain::Explain(lines, arguments[0]);
+  explain::Explanation account = explain::Explain(lines, arguments[0]);
   if (!account.found) {
     return Complain(kExitRefused, account.cause);
   }
--- a/src/explain/explain.cc
+++ b/src/explain/explain.cc
@@ -15,10 +15,10 @@
 using nlohmann::json;
 
 /// Context events up to this long before a request's first line are included.
-constexpr std::int64_t kSurroundingMicros = 1500000;
+constexpr std::int64_t kContextMicros = 1500000;
 
 /// Events on the state of a process, independent of any request.
-bool IsSurrounding(const std::string& event) {
+bool IsContextEvent(const std::string& event) {
   static const std::set<std::string> kEvents = {"started",
                                                 "stopping",
                                                 "stopped",
@@ -70,8 +70,8 @@
 }
 
 /// Why the ledger, or the gateway on its behalf, rejected a reservation without waiting.
-std::string CauseOfOverload(const std::string& gateway, const std::vector<LogLine>& around) {
-  for (const LogLine& line : around) {
+std::string CauseOfOverload(const std::string& gateway, const std::vector<LogLine>& context) {
+  for (const LogLine& line : context) {
     json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
     bool lost = line.event == "readiness_changed" && line.node == gateway &&
                 Field(object, "ready") == "false";
@@ -103,9 +103,9 @@
 
 /// Why a gateway without a valid configuration lease rejected API keys.
 std::string CauseOfLease(const std::string& gateway, const std::string& detail,
-                         const std::vector<LogLine>& around) {
+                         const std::vector<LogLine>& context) {
   std::string cause = absl::StrCat(detail, ": refused, not run");
-  for (const LogLine& line : around) {
+  for (const LogLine& line : context) {
     if (line.event == "configuration_lease_lost" && line.node == gateway) {
       json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
       absl::StrAppend(&cause, "; ", gateway, " had last known it to be the newest ",
@@ -116,35 +116,36 @@
 }
 
 /// Which runners contributed to a forwarded response.
-std::string CauseOfAnswer(const std::vector<LogLine>& own, const json& last) {
-  std::string broken;
+std::string CauseOfResponse(const std::vector<LogLine>& request_lines, const json& last) {
+  std::string failed_attempts;
   json attempt;
-  for (const LogLine& line : own) {
+  for (const LogLine& line : request_lines) {
     if (line.event != "attempt_ended") {
       continue;
     }
     attempt = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
     if (Field(attempt, "end") != "answered") {
-      absl::StrAppend(&broken, "; before it runner ", Field(attempt, "runner"), " ended with ",
-                      Field(attempt, "end"), " (", Field(attempt, "detail"), ") after ",
-                      Field(attempt, "events"), " events, and ", Field(attempt, "unfinished_bytes"),
-                      " bytes of the next were dropped");
+      absl::StrAppend(&failed_attempts, "; before it runner ", Field(attempt, "runner"),
+                      " ended with ", Field(attempt, "end"), " (", Field(attempt, "detail"),
+                      ") after ", Field(attempt, "events"), " events, and ",
+                      Field(attempt, "unfinished_bytes"), " bytes of the next were dropped");
     }
   }
-  if (broken.empty()) {
+  if (failed_attempts.empty()) {
     return "it was answered; its runner's answer was passed on unchanged";
   }
   return absl::StrCat("it was answered by runner ", Field(attempt, "runner"),
-                      ", under the head of runner ", Field(last, "head_of"), broken);
+                      ", under the head of runner ", Field(last, "head_of"), failed_attempts);
 }
 
 /// Derives the cause of the outcome from the request's lines and the context events.
-std::string CauseOf(const std::vector<LogLine>& own, const std::vector<LogLine>& around) {
+std::string CauseOf(const std::vector<LogLine>& request_lines,
+                    const std::vector<LogLine>& context) {
   json last;
   json attempt;
   json admission;
   json quota;
-  for (const LogLine& line : own) {
+  for (const LogLine& line : request_lines) {
     json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
     last = line.event == "request_ended" ? object : last;
     attempt = line.event == "attempt_ended" ? object : attempt;
@@ -162,7 +163,7 @@
   std::string detail = Field(last, "detail");
   if (absl::StrContains(detail, "API key may be revoked") ||
       absl::StrContains(detail, "configuration may be too old")) {
-    return CauseOfLease(own.back().node, detail, around);
+    return CauseOfLease(request_lines.back().node, detail, context);
   }
   if (verdict == "engines_full") {
     return absl::StrCat("it would have begun a program while ", Field(admission, "active"),
@@ -181,10 +182,10 @@
   }
   if (verdict == "no_answer") {
     std::string changes;
-    for (const LogLine& line : around) {
-      bool tells = line.event == "replica_role" || line.event == "disk_failed" ||
-                   line.event == "started" || line.event == "machine_refuses";
-      if (tells) {
+    for (const LogLine& line : context) {
+      bool relevant = line.event == "replica_role" || line.event == "disk_failed" ||
+                      line.event == "started" || line.event == "machine_refuses";
+      if (relevant) {
         absl::StrAppend(&changes, changes.empty() ? "; around it: " : ", ", line.node, " ",
                         line.event);
       }
@@ -193,10 +194,10 @@
                         " ms, so the turn was refused and not run", changes);
   }
   if (verdict == "overloaded") {
-    return CauseOfOverload(own.back().node, around);
+    return CauseOfOverload(request_lines.back().node, context);
   }
   if (outcome == "answered") {
-    return CauseOfAnswer(own, last);
+    return CauseOfResponse(request_lines, last);
   }
   if (outcome == "client_gone") {
     return "the client left before its answer was whole";
@@ -212,7 +213,7 @@
 
 }  // namespace
 
-std::vector<LogLine> ReadLines(const std::string& text) {
+std::vector<LogLine> ParseLogLines(const std::string& text) {
   std::vector<LogLine> lines;
   std::istringstream stream(text);
   std::string raw;
@@ -237,54 +238,54 @@
   return lines;
 }
 
-Account Explain(const std::vector<LogLine>& lines, const std::string& request) {
-  std::vector<LogLine> own;
+Explanation Explain(const std::vector<LogLine>& lines, const std::string& request) {
+  std::vector<LogLine> request_lines;
   for (const LogLine& line : lines) {
     if (line.request == request) {
-      own.push_back(line);
+      request_lines.push_back(line);
     }
   }
-  Account account;
-  account.outcome = "unknown";
-  if (own.empty()) {
-    account.cause = "no line of these logs names it";
-    return account;
+  Explanation explanation;
+  explanation.outcome = "unknown";
+  if (request_lines.empty()) {
+    explanation.cause = "no line of these logs names it";
+    return explanation;
   }
-  account.found = true;
+  explanation.found = true;
   // Lines of one process are ordered by sequence number, since its clock may have been adjusted.
   auto earlier = [](const LogLine& left, const LogLine& right) {
     if (left.node == right.node && left.sequence != right.sequence &&
-        std::abs(left.time_us - right.time_us) < kSurroundingMicros) {
+        std::abs(left.time_us - right.time_us) < kContextMicros) {
       return left.sequence < right.sequence;
     }
     return left.time_us < right.time_us;
   };
-  std::stable_sort(own.begin(), own.end(), earlier);
-  std::int64_t first = own.front().time_us;
-  std::int64_t last = own.back().time_us;
-  std::vector<LogLine> around;
+  std::stable_sort(request_lines.begin(), request_lines.end(), earlier);
+  std::int64_t first = request_lines.front().time_us;
+  std::int64_t last = request_lines.back().time_us;
+  std::vector<LogLine> context;
   for (const LogLine& line : lines) {
-    bool near = line.time_us >= first - kSurroundingMicros && line.time_us <= last;
-    if (line.request.empty() && near && IsSurrounding(line.event)) {
-      around.push_back(line);
+    bool near = line.time_us >= first - kContextMicros && line.time_us <= last;
+    if (line.request.empty() && near && IsContextEvent(line.event)) {
+      context.push_back(line);
     }
   }
-  for (const LogLine& line : own) {
+  for (const LogLine& line : request_lines) {
     if (line.event == "request_ended") {
       json object = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
-      account.outcome = Field(object, "outcome");
+      explanation.outcome = Field(object, "outcome");
     }
   }
-  account.cause = CauseOf(own, around);
-  std::vector<LogLine> all = own;
-  all.insert(all.end(), around.begin(), around.end());
+  explanation.cause = CauseOf(request_lines, context);
+  std::vector<LogLine> all = request_lines;
+  all.insert(all.end(), context.begin(), context.end());
   std::stable_sort(all.begin(), all.end(), [](const LogLine& left, const LogLine& right) {
     return left.time_us < right.time_us;
   });
   for (const LogLine& line : all) {
-    account.steps.push_back(Describe(line, first));
+    explanation.steps.push_back(Describe(line, first));
   }
-  return account;
+  return explanation;
 }
 
 }  // namespace martenyard::explain
--- a/src/explain/explain.h
+++ b/src/explain/explain.h
@@ -18,10 +18,10 @@
 };
 
 /// Parses event log lines. Text before a line's JSON object and lines without one are ignored.
-std::vector<LogLine> ReadLines(const std::string& text);
+std::vector<LogLine> ParseLogLines(const std::string& text);
 
 /// The outcome of one request and its cause.
-struct Account {
+struct Explanation {
   bool found = false;
   std::vector<std::string> steps;  ///< Ordered by time: lines of the request and context events.
   std::string outcome;             ///< As logged by the gateway; "unknown" if not logged.
@@ -29,6 +29,6 @@
 };
 
 /// @param lines lines of any processes, in any order.
-Account Explain(const std::vector<LogLine>& lines, const std::string& request);
+Explanation Explain(const std::vector<LogLine>& lines, const std::string& request);
 
 }  // namespace martenyard::explain
--- a/tests/platform/explain_test.cc
+++ b/tests/platform/explain_test.cc
@@ -13,8 +13,8 @@
 using testing::ClientRequest;
 using testing::PlatformWorld;
 
-Account ExplainIn(PlatformWorld& world, const std::string& request) {
-  return Explain(ReadLines(world.Log()), request);
+Explanation ExplainIn(PlatformWorld& world, const std::string& request) {
+  return Explain(ParseLogLines(world.Log()), request);
 }
 
 TEST(ExplainTest, SpentBudgetIsNamedWithItsFigures) {
@@ -26,7 +26,7 @@
   world.Ask(request);
   request.id = "attempt-2";
   ASSERT_EQ(world.Ask(request).status, 402U);
-  Account account = ExplainIn(world, "attempt-2");
+  Explanation account = ExplainIn(world, "attempt-2");
   EXPECT_EQ(account.outcome, "own_402");
   EXPECT_TRUE(absl::StrContains(account.cause, "budget of 150")) << account.cause;
   EXPECT_TRUE(absl::StrContains(account.cause, "this turn's 100")) << account.cause;
@@ -41,7 +41,7 @@
   request.target = "/stream/1";
   request.headers = {"Program-Id: p", "Token-Budget: 150", "Token-Usage: 10,100"};
   ASSERT_EQ(world.Ask(request).status, 503U);
-  Account account = ExplainIn(world, "attempt-1");
+  Explanation account = ExplainIn(world, "attempt-1");
   EXPECT_TRUE(absl::StrContains(account.cause, "0 requests were at engines with 16 slots"))
       << account.cause;
 }
@@ -52,7 +52,7 @@
       "\n"
       R"({"time_us":2000100,"sequence":9,"node":"edge-1","event":"request_ended","request":"r","outcome":"own_429","detail":"the tenant's limit is reached"})"
       "\n";
-  Account account = Explain(ReadLines(refused), "r");
+  Explanation account = Explain(ParseLogLines(refused), "r");
   EXPECT_TRUE(absl::StrContains(account.cause, "tenant north was beyond its limit of 4.0"))
       << account.cause;
   EXPECT_TRUE(absl::StrContains(account.cause, "(configuration 7)")) << account.cause;
@@ -64,7 +64,7 @@
       "\n"
       R"({"time_us":2000100,"sequence":9,"node":"edge-1","event":"request_ended","request":"r","outcome":"own_503","detail":"the configuration may be too old: the API key may be revoked"})"
       "\n";
-  Account account = Explain(ReadLines(lines), "r");
+  Explanation account = Explain(ParseLogLines(lines), "r");
   EXPECT_TRUE(absl::StrContains(account.cause, "edge-1 had last known it to be the newest 4751 ms"))
       << account.cause;
 }
@@ -77,7 +77,7 @@
   request.target = "/stream/1";
   request.headers = {"Program-Id: p", "Token-Budget: 150", "Token-Usage: 10,100"};
   ASSERT_EQ(world.Ask(request).status, 503U);
-  Account account = ExplainIn(world, "attempt-1");
+  Explanation account = ExplainIn(world, "attempt-1");
   EXPECT_TRUE(absl::StrContains(account.cause, "did not commit")) << account.cause;
   EXPECT_TRUE(absl::StrContains(account.cause, "disk_failed")) << account.cause;
 }
@@ -95,13 +95,13 @@
   std::string lost =
       R"({"time_us":1500000,"sequence":7,"node":"edge-1","event":"readiness_changed","ready":false,"groups":8,"silent_groups":8})"
       "\n";
-  Account account = Explain(ReadLines(RefusedAtOnce(lost)), "r");
+  Explanation account = Explain(ParseLogLines(RefusedAtOnce(lost)), "r");
   EXPECT_TRUE(absl::StrContains(account.cause, "edge-1 had lost the ledger (8 of 8"))
       << account.cause;
   std::string other =
       R"({"time_us":1500000,"sequence":7,"node":"edge-2","event":"readiness_changed","ready":false,"groups":8,"silent_groups":8})"
       "\n";
-  account = Explain(ReadLines(RefusedAtOnce(other)), "r");
+  account = Explain(ParseLogLines(RefusedAtOnce(other)), "r");
   EXPECT_TRUE(absl::StrContains(account.cause, "more than it could do")) << account.cause;
 }
 
@@ -109,7 +109,7 @@
   std::string full =
       R"({"time_us":1500000,"sequence":7,"node":"storage-1","event":"memory_full","used":104,"limit":130})"
       "\n";
-  Account account = Explain(ReadLines(RefusedAtOnce(full)), "r");
+  Explanation account = Explain(ParseLogLines(RefusedAtOnce(full)), "r");
   EXPECT_TRUE(absl::StrContains(account.cause, "storage-1 was full (104 of 130")) << account.cause;
 }
 
@@ -129,7 +129,7 @@
   world.a().Script({RunnerBehavior::kReset});
   world.b().Script({RunnerBehavior::kReset});
   ASSERT_EQ(world.Ask({}).status, 502U);
-  Account account = ExplainIn(world, "attempt-1");
+  Explanation account = ExplainIn(world, "attempt-1");
   EXPECT_TRUE(absl::StrContains(account.cause, "i-far")) << account.cause;
   EXPECT_TRUE(absl::StrContains(account.cause, "connection closed without a response"))
       << account.cause;
@@ -159,7 +159,7 @@
     ClientRequest request;
     request.target = "/stream/1";
     ASSERT_TRUE(world.Ask(request).whole);
-    Account account = ExplainIn(world, "attempt-1");
+    Explanation account = ExplainIn(world, "attempt-1");
     EXPECT_EQ(account.outcome, "answered");
     EXPECT_TRUE(absl::StrContains(account.cause, "answered by runner i-far")) << account.cause;
     EXPECT_TRUE(absl::StrContains(account.cause, test.head)) << account.cause;
@@ -175,7 +175,7 @@
   ClientRequest request;
   request.target = "/stream/1";
   ASSERT_FALSE(world.Ask(request).whole);
-  Account account = ExplainIn(world, "attempt-1");
+  Explanation account = ExplainIn(world, "attempt-1");
   EXPECT_EQ(account.outcome, "broken");
   EXPECT_TRUE(absl::StrContains(account.cause, "does not continue after the last delivered event"))
       << account.cause;
@@ -183,7 +183,7 @@
 
 TEST(ExplainTest, RequestWithoutALineAndWithoutAnEndAreSaidSo) {
   EXPECT_FALSE(Explain({}, "x").found);
-  std::vector<LogLine> lines = ReadLines(
+  std::vector<LogLine> lines = ParseLogLines(
       "  12.5 edge-1 {\"time_us\":5,\"sequence\":1,\"node\":\"n\",\"event\":\"runner_chosen\","
       "\"request\":\"x\"}\nnot a line\n{\"time_us\":broken\n");
   ASSERT_EQ(lines.size(), 1U);
--- a/tests/platform/support/machine.cc
+++ b/tests/platform/support/machine.cc
@@ -140,7 +140,7 @@
   std::int64_t latest = 0;
   for (const auto& ledger : ledgers) {
     std::string identity;
-    for (const explain::LogLine& line : explain::ReadLines(ledger->LatestLog())) {
+    for (const explain::LogLine& line : explain::ParseLogLines(ledger->LatestLog())) {
       if (line.event == "disk_opened") {
         identity = nlohmann::json::parse(line.text)["identity"].get<std::string>();
       }
@@ -149,7 +149,7 @@
       return false;  // Not started yet: its line from before may name a disk that is gone.
     }
     identities.insert(identity);
-    for (const explain::LogLine& line : explain::ReadLines(ledger->Log())) {
+    for (const explain::LogLine& line : explain::ParseLogLines(ledger->Log())) {
       if (line.event != "replica_role" || line.time_us <= latest) {
         continue;
       }
--- a/tests/platform/system/recovery_soak_test.cc
+++ b/tests/platform/system/recovery_soak_test.cc
@@ -392,7 +392,7 @@
   void CheckLogs() {
     for (auto& gateway : gateways_) {
       std::int64_t version = 0;
-      for (const explain::LogLine& line : explain::ReadLines(gateway->Log())) {
+      for (const explain::LogLine& line : explain::ParseLogLines(gateway->Log())) {
         if (line.event == "started") {
           version = 0;
         }
--- a/tests/platform/system/stream_soak_test.cc
+++ b/tests/platform/system/stream_soak_test.cc
@@ -542,7 +542,7 @@
       }
     }
     for (auto& gateway : gateways_) {
-      for (const explain::LogLine& line : explain::ReadLines(gateway->Log())) {
+      for (const explain::LogLine& line : explain::ParseLogLines(gateway->Log())) {
         if (line.event == "request_ended") {
           auto object = nlohmann::json::parse(line.text);
           outcomes[line.request] = object["outcome"].get<std::string>();
--- a/tests/platform/system/upgrade_soak_test.cc
+++ b/tests/platform/system/upgrade_soak_test.cc
@@ -162,7 +162,7 @@
                          const std::string& event) {
     std::size_t count = 0;
     for (const auto& machine : machines) {
-      for (const explain::LogLine& line : explain::ReadLines(machine->Log())) {
+      for (const explain::LogLine& line : explain::ParseLogLines(machine->Log())) {
         count += line.event == event ? 1 : 0;
       }
     }
