--- a/src/explain/explain.cc
+++ b/src/explain/explain.cc
@@ -78,21 +78,21 @@
     if (lost) {
       return absl::StrCat("its gateway ", gateway, " had lost the ledger (",
                           Field(object, "silent_groups"), " of ", Field(object, "groups"),
-                          " groups silent) and no peer reached it: refused at once, not run");
+                          " groups unresponsive) and no peer reached it: refused at once, not run");
     }
     if (line.event == "memory_full") {
       return absl::StrCat("ledger machine ", line.node, " was full (", Field(object, "used"),
                           " of ", Field(object, "limit"), " bytes): refused, not run");
     }
   }
-  return "the program's group had more than it could do, or was silent: refused, not run";
+  return "the program's group had more than it could do, or was unresponsive: refused, not run";
 }
 
 /// Why the request was rejected by a tenant's rate limit or by a timeout of the quota check.
 std::string CauseOfQuota(const json& refusal) {
   if (Field(refusal, "known") == "false") {
-    return absl::StrCat("nobody who counts the requests of tenant ", Field(refusal, "tenant"),
-                        " answered within ", Field(refusal, "ms"), " ms: refused, not run");
+    return absl::StrCat("no process that counts the requests of tenant ", Field(refusal, "tenant"),
+                        " replied within ", Field(refusal, "ms"), " ms: refused, not run");
   }
   return absl::StrCat("tenant ", Field(refusal, "tenant"), " was beyond its limit of ",
                       Field(refusal, "rate"), " requests a second and ", Field(refusal, "burst"),
@@ -125,14 +125,14 @@
     }
     attempt = json::parse(line.text, nullptr, /*allow_exceptions=*/false);
     if (Field(attempt, "end") != "answered") {
-      absl::StrAppend(&failed_attempts, "; before it runner ", Field(attempt, "runner"),
+      absl::StrAppend(&failed_attempts, "; before that, runner ", Field(attempt, "runner"),
                       " ended with ", Field(attempt, "end"), " (", Field(attempt, "detail"),
                       ") after ", Field(attempt, "events"), " events, and ",
                       Field(attempt, "unfinished_bytes"), " bytes of the next were dropped");
     }
   }
   if (failed_attempts.empty()) {
-    return "it was answered; its runner's answer was passed on unchanged";
+    return "it was answered; the runner's response was forwarded unchanged";
   }
   return absl::StrCat("it was answered by runner ", Field(attempt, "runner"),
                       ", under the head of runner ", Field(last, "head_of"), failed_attempts);
@@ -155,7 +155,8 @@
   std::string outcome = last.is_object() ? Field(last, "outcome") : "unknown";
   std::string verdict = admission.is_object() ? Field(admission, "verdict") : "";
   if (outcome == "unknown") {
-    return "its gateway wrote no end: the process was killed, or the line was dropped";
+    return "its gateway logged no end of the request: the process was killed, or the line was "
+           "dropped";
   }
   if (quota.is_object()) {
     return CauseOfQuota(quota);
@@ -166,9 +167,9 @@
     return CauseOfLease(request_lines.back().node, detail, context);
   }
   if (verdict == "engines_full") {
-    return absl::StrCat("it would have begun a program while ", Field(admission, "active"),
+    return absl::StrCat("it would have started a program while ", Field(admission, "active"),
                         " requests were at engines with ", Field(admission, "slots"),
-                        " slots: refused, not run; its program could come back later");
+                        " slots: refused, not run; the program could be retried later");
   }
   if (verdict == "budget_spent") {
     return absl::StrCat("the program's budget of ", Field(admission, "budget"),
@@ -177,7 +178,7 @@
                         " reserved by turns not settled yet");
   }
   if (verdict == "unknown_previous") {
-    return absl::StrCat("the ledger, asked by its quorum, knows no turn ",
+    return absl::StrCat("the ledger, read from a quorum, has no turn ",
                         Field(admission, "previous"));
   }
   if (verdict == "no_answer") {
@@ -200,7 +201,7 @@
     return CauseOfResponse(request_lines, last);
   }
   if (outcome == "client_gone") {
-    return "the client left before its answer was whole";
+    return "the client disconnected before the response was complete";
   }
   if (attempt.is_object()) {
     return absl::StrCat("runner ", Field(attempt, "runner"), " ended the last attempt with ",
@@ -248,7 +249,7 @@
   Explanation explanation;
   explanation.outcome = "unknown";
   if (request_lines.empty()) {
-    explanation.cause = "no line of these logs names it";
+    explanation.cause = "no log line mentions this request";
     return explanation;
   }
   explanation.found = true;
