--- a/src/discovery/health/failure_estimate.cc
+++ b/src/discovery/health/failure_estimate.cc
@@ -10,25 +10,25 @@
 {
 }
 
-double failure_estimate::faded(instant now) const
+double failure_estimate::decay_factor(instant now) const
 {
-    std::chrono::duration<double> age = std::max(now, m_noted) - m_noted;
+    std::chrono::duration<double> age = std::max(now, m_updated_at) - m_updated_at;
     return std::exp2(-age / std::chrono::duration<double>(m_options.m_half_life));
 }
 
-void failure_estimate::note(instant now, const request_outcomes& outcomes)
+void failure_estimate::record(instant now, const request_outcomes& outcomes)
 {
-    double left = faded(now);
-    m_served = m_served * left + outcomes.m_served;
-    m_lost = m_lost * left + outcomes.m_lost;
-    m_noted = std::max(now, m_noted);
+    double factor = decay_factor(now);
+    m_served = m_served * factor + outcomes.m_served;
+    m_lost = m_lost * factor + outcomes.m_lost;
+    m_updated_at = std::max(now, m_updated_at);
 }
 
 double failure_estimate::rate(instant now) const
 {
-    double left = faded(now);
-    double lost = m_lost * left;
-    return lost / (lost + m_served * left + m_options.m_credit);
+    double factor = decay_factor(now);
+    double lost = m_lost * factor;
+    return lost / (lost + m_served * factor + m_options.m_credit);
 }
 
 }  // namespace martenyard::discovery
--- a/src/discovery/health/failure_estimate.h
+++ b/src/discovery/health/failure_estimate.h
@@ -37,17 +37,17 @@
     explicit failure_estimate(const failure_estimate_options& options = {});
 
     /// @brief adds outcomes observed by this gateway or reported by a peer
-    void note(instant now, const request_outcomes& outcomes);
+    void record(instant now, const request_outcomes& outcomes);
 
     /// @return the expected share of failed requests, from 0 to 1
     double rate(instant now) const;
 
   private:
     /// @return the decay factor since the last update
-    double faded(instant now) const;
+    double decay_factor(instant now) const;
 
     failure_estimate_options m_options;
-    instant m_noted;
+    instant m_updated_at;
     double m_served = 0;
     double m_lost = 0;
 };
--- a/src/discovery/runner_table.cc
+++ b/src/discovery/runner_table.cc
@@ -9,10 +9,9 @@
 
 bool RunnerTable::Upsert(absl::Time now, const Runner& runner) {
   RunnerState& state = runners_[runner.id];
-  bool started_again = state.runner.started != absl::UnixEpoch() &&
-                       runner.started != absl::UnixEpoch() &&
-                       state.runner.started != runner.started;
-  if (started_again) {
+  bool restarted = state.runner.started != absl::UnixEpoch() &&
+                   runner.started != absl::UnixEpoch() && state.runner.started != runner.started;
+  if (restarted) {
     // Requests in flight to the previous process are counted until they end.
     RunnerState fresh;
     fresh.own_active = state.own_active;
@@ -24,65 +23,66 @@
   by_short_id_[state.short_id] = &state;
   state.gone = false;
   if (runner.draining) {
-    state.left_at = std::min(state.left_at, now);
+    state.draining_since = std::min(state.draining_since, now);
   } else {
-    state.left_at = absl::InfiniteFuture();
+    state.draining_since = absl::InfiniteFuture();
   }
-  return started_again;
+  return restarted;
 }
 
 void RunnerTable::Remove(absl::Time now, const RunnerId& id) {
   auto found = runners_.find(id);
   if (found != runners_.end()) {
     found->second.gone = true;
-    found->second.left_at = std::min(found->second.left_at, now);
+    found->second.draining_since = std::min(found->second.draining_since, now);
   }
 }
 
-void RunnerTable::Note(absl::Time now, const RunnerId& id, RunnerSignal signal) {
+void RunnerTable::RecordSignal(absl::Time now, const RunnerId& id, RunnerSignal signal) {
   RunnerState* state = Find(id);
   if (state == nullptr) {
     return;
   }
   switch (signal) {
     case RunnerSignal::kServed:
-      state->failures_in_a_row = 0;
+      state->consecutive_failures = 0;
       state->avoid_until = absl::InfinitePast();
       return;
-    case RunnerSignal::kTurnedAway:
-      state->full_until = now + options_.full_pause;
+    case RunnerSignal::kRejected:
+      state->full_until = now + options_.full_backoff;
       return;
-    case RunnerSignal::kLeaves:
-      state->left_at = std::min(state->left_at, now);
+    case RunnerSignal::kDraining:
+      state->draining_since = std::min(state->draining_since, now);
       return;
     case RunnerSignal::kUnreachable:
-      state->failures_in_a_row = std::max(state->failures_in_a_row, options_.failures_to_avoid - 1);
+      state->consecutive_failures =
+          std::max(state->consecutive_failures, options_.failure_threshold - 1);
       break;
     case RunnerSignal::kFailed:
       break;
   }
-  ++state->failures_in_a_row;
-  int excess = state->failures_in_a_row - options_.failures_to_avoid;
+  ++state->consecutive_failures;
+  int excess = state->consecutive_failures - options_.failure_threshold;
   if (excess < 0) {
     return;
   }
-  absl::Duration avoidance = options_.first_avoidance * (1 << std::min(excess, 4));
-  state->avoid_until = now + std::min(avoidance, options_.longest_avoidance);
+  absl::Duration avoidance = options_.initial_avoidance * (1 << std::min(excess, 4));
+  state->avoid_until = now + std::min(avoidance, options_.max_avoidance);
 }
 
-void RunnerTable::NoteOutcome(const RunnerId& id, const request_outcomes& outcome) {
+void RunnerTable::RecordOutcome(const RunnerId& id, const request_outcomes& outcome) {
   if (RunnerState* state = Find(id)) {
-    state->losses.note(std::chrono::steady_clock::now(), outcome);
+    state->failure_rate.record(std::chrono::steady_clock::now(), outcome);
     state->unreported.m_served += outcome.m_served;
     state->unreported.m_lost += outcome.m_lost;
   }
 }
 
-void RunnerTable::Prune(absl::Time now, absl::Duration keep) {
+void RunnerTable::Prune(absl::Time now, absl::Duration retention) {
   for (auto entry = runners_.begin(); entry != runners_.end();) {
     const RunnerState& state = entry->second;
-    bool over = state.gone && state.own_active == 0 && state.left_at + keep < now;
-    if (!over) {
+    bool expired = state.gone && state.own_active == 0 && state.draining_since + retention < now;
+    if (!expired) {
       ++entry;
       continue;
     }
@@ -96,7 +96,7 @@
   return found == runners_.end() ? nullptr : &found->second;
 }
 
-RunnerState* RunnerTable::FindShort(std::uint32_t short_id) {
+RunnerState* RunnerTable::FindByShortId(std::uint32_t short_id) {
   auto found = by_short_id_.find(short_id);
   return found == by_short_id_.end() ? nullptr : found->second;
 }
--- a/src/discovery/runner_table.h
+++ b/src/discovery/runner_table.h
@@ -15,37 +15,39 @@
 
 /// Tuning parameters of passive health checks.
 struct HealthOptions {
-  int failures_to_avoid = 2;  ///< Consecutive failures before a runner is avoided.
-  absl::Duration first_avoidance = absl::Milliseconds(500);
-  absl::Duration longest_avoidance = absl::Seconds(4);
-  absl::Duration full_pause = absl::Milliseconds(60);  ///< After it rejected a request as full.
+  int failure_threshold = 2;  ///< Consecutive failures before a runner is avoided.
+  absl::Duration initial_avoidance = absl::Milliseconds(500);
+  absl::Duration max_avoidance = absl::Seconds(4);
+  absl::Duration full_backoff = absl::Milliseconds(60);  ///< After it rejected a request as full.
 };
 
 /// A runner and its current state.
 struct RunnerState {
   Runner runner;
-  std::uint32_t short_id = 0;                   ///< Hash of the id; identifies it in load reports.
-  bool gone = false;                            ///< Removed from the directory.
-  absl::Time left_at = absl::InfiniteFuture();  ///< When it was first seen draining.
-  std::uint32_t own_active = 0;                 ///< Requests in flight from this gateway.
+  std::uint32_t short_id = 0;  ///< Hash of the id; identifies it in load reports.
+  bool gone = false;           ///< Removed from the directory.
+  absl::Time draining_since = absl::InfiniteFuture();  ///< When it was first seen draining.
+  std::uint32_t own_active = 0;                        ///< Requests in flight from this gateway.
   std::uint32_t peers_active = 0;  ///< Requests in flight from other gateways, as last reported.
-  int failures_in_a_row = 0;
-  failure_estimate losses;      ///< As observed by this gateway and its peers.
-  request_outcomes unreported;  ///< Observed here, not yet reported to peers.
+  int consecutive_failures = 0;
+  failure_estimate failure_rate;  ///< As observed by this gateway and its peers.
+  request_outcomes unreported;    ///< Observed here, not yet reported to peers.
   absl::Time avoid_until = absl::InfinitePast();
   absl::Time full_until = absl::InfinitePast();
 
-  bool Leaving() const { return gone || runner.draining || left_at < absl::InfiniteFuture(); }
+  bool IsDraining() const {
+    return gone || runner.draining || draining_since < absl::InfiniteFuture();
+  }
   std::uint32_t Active() const { return own_active + peers_active; }
 };
 
 /// Outcome of a request, as used for the runner's health.
 enum class RunnerSignal {
   kServed,
-  kTurnedAway,   ///< Rejected because the runner was full.
+  kRejected,     ///< Rejected because the runner was full.
   kFailed,       ///< Truncated, timed out or malformed response.
   kUnreachable,  ///< Connection failed.
-  kLeaves,       ///< Asked to close the connection, or was replaced by another runner.
+  kDraining,     ///< Asked to close the connection, or was replaced by another runner.
 };
 
 class RunnerTable {
@@ -56,16 +58,16 @@
   bool Upsert(absl::Time now, const Runner& runner);
   /// Marks a runner as removed from the directory.
   void Remove(absl::Time now, const RunnerId& id);
-  void Note(absl::Time now, const RunnerId& id, RunnerSignal signal);
+  void RecordSignal(absl::Time now, const RunnerId& id, RunnerSignal signal);
   /// Adds outcomes of this gateway's requests to the runner's failure estimate.
-  void NoteOutcome(const RunnerId& id, const request_outcomes& outcome);
-  /// Erases removed runners that left more than `keep` ago and have no requests in flight from
+  void RecordOutcome(const RunnerId& id, const request_outcomes& outcome);
+  /// Erases removed runners that left more than `retention` ago and have no requests in flight from
   /// here.
-  void Prune(absl::Time now, absl::Duration keep);
+  void Prune(absl::Time now, absl::Duration retention);
 
   RunnerState* Find(const RunnerId& id);
   /// @return the runner with this short id, or null.
-  RunnerState* FindShort(std::uint32_t short_id);
+  RunnerState* FindByShortId(std::uint32_t short_id);
   std::vector<RunnerState*> OfService(const forwarding::ServiceName& service);
   std::map<RunnerId, RunnerState>& all() { return runners_; }
 
--- a/src/forwarding/request_admission.cc
+++ b/src/forwarding/request_admission.cc
@@ -311,7 +311,7 @@
   engine_load load;
   for (const discovery::RunnerState* runner : state_->runners.OfService(service_name_)) {
     load.m_active += runner->Active();
-    load.m_slots += runner->Leaving() ? 0 : runner->runner.slots;
+    load.m_slots += runner->IsDraining() ? 0 : runner->runner.slots;
   }
   return load;
 }
--- a/src/forwarding/request_handler.cc
+++ b/src/forwarding/request_handler.cc
@@ -165,14 +165,14 @@
   sent_attempts_ += result.sent && !result.wrong_runner ? 1 : 0;
   tried_.insert(runner.id.value);
   last_detail_ = result.detail;
-  auto report = [&](RunnerSignal signal) { state_->runners.Note(now, runner.id, signal); };
+  auto report = [&](RunnerSignal signal) { state_->runners.RecordSignal(now, runner.id, signal); };
   switch (result.outcome) {
     case AttemptOutcome::kCompleted:
       report(result.streamed || result.response.head.result_int() < 500 ? RunnerSignal::kServed
                                                                         : RunnerSignal::kFailed);
       break;
     case AttemptOutcome::kNotRun:
-      report(result.wrong_runner ? RunnerSignal::kLeaves : RunnerSignal::kTurnedAway);
+      report(result.wrong_runner ? RunnerSignal::kDraining : RunnerSignal::kRejected);
       break;
     case AttemptOutcome::kNotSent:
       report(RunnerSignal::kUnreachable);
@@ -224,7 +224,7 @@
     default:
       return;
   }
-  state_->runners.NoteOutcome(runner.id, outcome);
+  state_->runners.RecordOutcome(runner.id, outcome);
 }
 
 Task<void> RequestHandler::TryRunners() {
--- a/src/forwarding/request_runner_selection.cc
+++ b/src/forwarding/request_runner_selection.cc
@@ -31,8 +31,8 @@
   std::vector<Candidate> candidates;
   std::uint64_t share = ConnectionShare(service_name_);
   for (discovery::RunnerState* runner : state_->runners.OfService(service_name_)) {
-    bool draining = runner->Leaving();
-    if (draining && runner->left_at + state_->options.max_draining_runner_use < now) {
+    bool draining = runner->IsDraining();
+    if (draining && runner->draining_since + state_->options.max_draining_runner_use < now) {
       continue;
     }
     Candidate candidate;
@@ -41,7 +41,7 @@
     candidate.slots = runner->runner.slots;
     candidate.active = runner->Active();
     candidate.cached_tokens = state_->prefixes.CachedTokens(now, info_.prompt, runner->short_id);
-    candidate.loss_rate = runner->losses.rate(steady_now);
+    candidate.loss_rate = runner->failure_rate.rate(steady_now);
     candidate.draining = draining;
     candidate.avoided = runner->avoid_until > now || runner->full_until > now;
     candidate.tried = tried_.contains(candidate.id);
--- a/src/roles/exchange/zone_exchange.cc
+++ b/src/roles/exchange/zone_exchange.cc
@@ -53,7 +53,7 @@
 {
     for (const runner_load& load : loads)
     {
-        if (discovery::RunnerState* runner = runners.FindShort(load.m_runner))
+        if (discovery::RunnerState* runner = runners.FindByShortId(load.m_runner))
         {
             runner->unreported.m_served -= load.m_served;
             runner->unreported.m_lost -= load.m_lost;
@@ -392,7 +392,7 @@
     clear_peer_loads();
     for (const runner_load& load : others)
     {
-        discovery::RunnerState* runner = runners.FindShort(load.m_runner);
+        discovery::RunnerState* runner = runners.FindByShortId(load.m_runner);
         if (runner == nullptr || !uses_peer_loads)
         {
             continue;
@@ -400,7 +400,7 @@
         runner->peers_active = load.m_active;
         if (load.m_served > 0 || load.m_lost > 0)
         {
-            runner->losses.note(now, {load.m_served, load.m_lost});
+            runner->failure_rate.record(now, {load.m_served, load.m_lost});
         }
     }
     absl::Time applied_at = SteadyNow();
--- a/src/roles/gateway_role.cc
+++ b/src/roles/gateway_role.cc
@@ -84,7 +84,7 @@
   }
   if (!policy.enabled(mechanism::avoidance)) {
     discovery::HealthOptions health;
-    health.failures_to_avoid = std::numeric_limits<int>::max() / 2;
+    health.failure_threshold = std::numeric_limits<int>::max() / 2;
     state.runners = discovery::RunnerTable(health);
   }
   if (!policy.enabled(mechanism::program_admission)) {
--- a/tests/discovery/runner_table_test.cc
+++ b/tests/discovery/runner_table_test.cc
@@ -17,13 +17,13 @@
 TEST(RunnerTableTest, LeftAtIsTheTimeOfTheFirstDrainingOrRemoval) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
-  EXPECT_FALSE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_FALSE(table.Find(RunnerId("a"))->IsDraining());
   Runner draining = MakeRunner("a");
   draining.draining = true;
   table.Upsert(kNow + absl::Seconds(1), draining);
-  EXPECT_TRUE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_TRUE(table.Find(RunnerId("a"))->IsDraining());
   table.Remove(kNow + absl::Seconds(3), RunnerId("a"));
-  EXPECT_EQ(table.Find(RunnerId("a"))->left_at, kNow + absl::Seconds(1));
+  EXPECT_EQ(table.Find(RunnerId("a"))->draining_since, kNow + absl::Seconds(1));
 }
 
 // Guards against applying the health of a previous process to a runner restarted under the same id.
@@ -34,21 +34,21 @@
   EXPECT_FALSE(table.Upsert(kNow, runner));
   RunnerState* state = table.Find(RunnerId("a"));
   for (int failure = 0; failure < 4; ++failure) {
-    table.Note(kNow, runner.id, RunnerSignal::kFailed);
-    table.NoteOutcome(runner.id, {0, 1});
+    table.RecordSignal(kNow, runner.id, RunnerSignal::kFailed);
+    table.RecordOutcome(runner.id, {0, 1});
   }
-  table.Note(kNow, runner.id, RunnerSignal::kTurnedAway);
-  table.Note(kNow, runner.id, RunnerSignal::kLeaves);
+  table.RecordSignal(kNow, runner.id, RunnerSignal::kRejected);
+  table.RecordSignal(kNow, runner.id, RunnerSignal::kDraining);
   state->own_active = 2;
   EXPECT_FALSE(table.Upsert(kNow, runner)) << "same start time, no restart";
   runner.started = kNow;
   EXPECT_TRUE(table.Upsert(kNow, runner));
   EXPECT_LE(state->avoid_until, kNow);
   EXPECT_LE(state->full_until, kNow);
-  EXPECT_EQ(state->failures_in_a_row, 0);
-  EXPECT_EQ(state->losses.rate(std::chrono::steady_clock::now()), 0);
+  EXPECT_EQ(state->consecutive_failures, 0);
+  EXPECT_EQ(state->failure_rate.rate(std::chrono::steady_clock::now()), 0);
   EXPECT_EQ(state->unreported.m_lost, 0U) << "peers would attribute it to the restarted runner";
-  EXPECT_FALSE(state->Leaving());
+  EXPECT_FALSE(state->IsDraining());
   EXPECT_EQ(state->own_active, 2U) << "these requests are still in flight";
 }
 
@@ -56,39 +56,39 @@
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   EXPECT_FALSE(table.Upsert(kNow, MakeRunner("a")));
-  Runner told = MakeRunner("a");
-  told.started = kNow;
-  EXPECT_FALSE(table.Upsert(kNow, told)) << "no earlier start time is known";
+  Runner reported = MakeRunner("a");
+  reported.started = kNow;
+  EXPECT_FALSE(table.Upsert(kNow, reported)) << "no earlier start time is known";
 }
 
 TEST(RunnerTableTest, ReaddedRunnerIsNotDraining) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   table.Remove(kNow, RunnerId("a"));
-  EXPECT_TRUE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_TRUE(table.Find(RunnerId("a"))->IsDraining());
   table.Upsert(kNow, MakeRunner("a"));
-  EXPECT_FALSE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_FALSE(table.Find(RunnerId("a"))->IsDraining());
 }
 
 TEST(RunnerTableTest, ConsecutiveFailuresBackOffAndSuccessResets) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   RunnerState* state = table.Find(RunnerId("a"));
-  table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kFailed);
   EXPECT_LE(state->avoid_until, kNow) << "a single failure does not exclude a runner";
-  table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kFailed);
   absl::Duration first = state->avoid_until - kNow;
   EXPECT_GT(first, absl::ZeroDuration());
-  table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kFailed);
   EXPECT_GT(state->avoid_until - kNow, first);
-  table.Note(kNow, state->runner.id, RunnerSignal::kServed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kServed);
   EXPECT_LE(state->avoid_until, kNow);
 }
 
 TEST(RunnerTableTest, UnreachableRunnerIsAvoidedImmediately) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
-  table.Note(kNow, RunnerId("a"), RunnerSignal::kUnreachable);
+  table.RecordSignal(kNow, RunnerId("a"), RunnerSignal::kUnreachable);
   EXPECT_GT(table.Find(RunnerId("a"))->avoid_until, kNow);
 }
 
--- a/tests/platform/gateway_contract_test.cc
+++ b/tests/platform/gateway_contract_test.cc
@@ -288,7 +288,7 @@
   world.ListRunner(world.a(), "near", "draining");
   discovery::RunnerId near("i-near");
   ASSERT_TRUE(
-      world.RunUntil([&] { return world.gateway().state().runners.Find(near)->Leaving(); }));
+      world.RunUntil([&] { return world.gateway().state().runners.Find(near)->IsDraining(); }));
   ClientRequest request;
   EXPECT_EQ(world.Ask(request).status, 200U);
   EXPECT_EQ(world.a().seen().size(), 0U);
@@ -314,8 +314,8 @@
   };
   ASSERT_EQ(BelievedKept(world, world.a()), 100U);
   for (int failure = 0; failure < 6; ++failure) {
-    world.gateway().state().runners.Note(SteadyNow(), known().runner.id,
-                                         discovery::RunnerSignal::kFailed);
+    world.gateway().state().runners.RecordSignal(SteadyNow(), known().runner.id,
+                                                 discovery::RunnerSignal::kFailed);
   }
   ASSERT_GT(known().avoid_until, SteadyNow());
   ASSERT_GT(world.gateway().state().pool.IdleCount(known().runner.id), 0U);
