--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -15,7 +15,7 @@
 namespace martenyard::settings {
 namespace {
 
-/// One key: how to read it and how to explain it. The table below is the only list of keys.
+/// One settings key: its documentation and its parser. Keys() is the only list of keys.
 struct Key {
   std::string_view section;
   std::string_view name;
@@ -163,9 +163,9 @@
   return keys;
 }
 
-void ReadPartners(TomlReader& root, Settings& settings, std::string* fault) {
+void ReadPartners(TomlReader& root, Settings& settings, std::string* error_message) {
   for (const toml::table* table : root.Tables("partner")) {
-    TomlReader reader(*table, "partner", fault);
+    TomlReader reader(*table, "partner", error_message);
     bundle::PartnerKey partner;
     partner.name = PartnerName(reader.Text("name", /*required=*/true));
     partner.public_key = reader.Text("public_key", /*required=*/true);
@@ -180,7 +180,7 @@
   }
 }
 
-void CheckTogether(TomlReader& root, const Settings& settings) {
+void CheckConstraints(TomlReader& root, const Settings& settings) {
   if (settings.replicas % 2 == 0) {
     root.Refuse("cluster.replicas", "must be 1, 3 or 5");
   }
@@ -192,7 +192,7 @@
   }
 }
 
-leaf::error_id Fault(const std::string& name, const std::string& detail) {
+leaf::error_id SettingsFailure(const std::string& name, const std::string& detail) {
   return leaf::new_error(SettingsError{name + ": " + detail});
 }
 
@@ -203,17 +203,17 @@
   try {
     table = toml::parse(text);
   } catch (const toml::parse_error& error) {
-    return Fault(name, "not TOML: " + std::string(error.description()) + " in line " +
-                           std::to_string(error.source().begin.line));
+    return SettingsFailure(name, "not TOML: " + std::string(error.description()) + " in line " +
+                                     std::to_string(error.source().begin.line));
   }
   Settings settings;
-  std::string fault;
-  TomlReader root(table, "", &fault);
+  std::string error_message;
+  TomlReader root(table, "", &error_message);
   static const toml::table kEmpty;
   for (std::string_view section :
        {"daemon", "cluster", "platform", "limits", "timing", "scheduling", "log"}) {
     const toml::table* found = root.Table(section);
-    TomlReader reader(found == nullptr ? kEmpty : *found, std::string(section), &fault);
+    TomlReader reader(found == nullptr ? kEmpty : *found, std::string(section), &error_message);
     for (const Key& key : Keys()) {
       if (key.section == section) {
         key.read(reader, key.name, settings);
@@ -221,11 +221,11 @@
     }
     reader.RefuseOthers();
   }
-  ReadPartners(root, settings, &fault);
+  ReadPartners(root, settings, &error_message);
   root.RefuseOthers();
-  CheckTogether(root, settings);
-  if (!fault.empty()) {
-    return Fault(name, fault);
+  CheckConstraints(root, settings);
+  if (!error_message.empty()) {
+    return SettingsFailure(name, error_message);
   }
   return settings;
 }
@@ -233,7 +233,7 @@
 Result<Settings> LoadSettings(const std::string& path) {
   std::ifstream file(path);
   if (!file) {
-    return Fault(path, "cannot be read");
+    return SettingsFailure(path, "cannot be read");
   }
   std::ostringstream text;
   text << file.rdbuf();
@@ -246,11 +246,12 @@
   }
   struct stat status {};
   if (stat(settings.data_dir.c_str(), &status) != 0 || !S_ISDIR(status.st_mode)) {
-    return Fault(name, "key 'daemon.data_dir': folder " + settings.data_dir +
-                           " does not exist; create it or leave the key out");
+    return SettingsFailure(name, "key 'daemon.data_dir': directory " + settings.data_dir +
+                                     " does not exist; create it or leave the key out");
   }
   if (access(settings.data_dir.c_str(), W_OK) != 0) {
-    return Fault(name, "key 'daemon.data_dir': folder " + settings.data_dir + " is not writable");
+    return SettingsFailure(
+        name, "key 'daemon.data_dir': directory " + settings.data_dir + " is not writable");
   }
   return {};
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,4 +1,4 @@
-// The daemon's settings: a TOML file, checked on load. Flags override single values.
+// Settings of the daemon: a TOML file that is validated on load. Flags override single values.
 #pragma once
 
 #include <optional>
@@ -13,21 +13,21 @@
 
 namespace martenyard::settings {
 
-/// One line that names the file, the key and what is allowed.
+/// A one-line message with the file, the key and the allowed values.
 struct SettingsError {
   std::string detail;
 };
 
 struct Settings {
   std::string zone;
-  wire::Endpoint peer;     ///< Listens here for other daemons, TCP and UDP.
-  wire::Endpoint callers;  ///< Listens here for callers and operators, HTTP.
+  wire::Endpoint peer;     ///< Listen address for other daemons, TCP and UDP.
+  wire::Endpoint callers;  ///< Listen address for callers and operators, HTTP.
   std::vector<wire::Endpoint> seeds;
-  std::string data_dir;  ///< Empty: keeps nothing.
+  std::string data_dir;  ///< Empty: no durable replicas.
 
   int groups = 8;
   int replicas = 3;
-  int bootstrap_daemons = 3;  ///< Daemons that must be seen before the groups are first placed.
+  int bootstrap_daemons = 3;  ///< Daemons required before groups are first placed.
 
   std::string key_value_url;
   std::string machine_list_url;
@@ -54,13 +54,13 @@
   std::string log_format = "text";
 };
 
-/// Reads `text`. @param name the file's name, for messages. Errors: SettingsError.
+/// Parses `text`. @param name the file's name, for messages. Errors: SettingsError.
 Result<Settings> ParseSettings(std::string_view text, const std::string& name);
-/// Reads the file. Errors: SettingsError.
+/// Reads and parses a file. Errors: SettingsError.
 Result<Settings> LoadSettings(const std::string& path);
-/// Checks what only the machine knows: that `data_dir` exists. Errors: SettingsError.
+/// Checks that `data_dir` exists on this machine and is writable. Errors: SettingsError.
 Result<void> CheckMachine(const Settings& settings, const std::string& name);
-/// @return the reference of all keys as a Markdown table; docs/OPERATIONS.md holds the same text.
+/// @return the reference of all keys as a Markdown table; docs/OPERATIONS.md must contain it.
 std::string SettingsReference();
 
 }  // namespace martenyard::settings
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -10,7 +10,7 @@
 namespace martenyard::settings {
 namespace {
 
-std::string Good() {
+std::string ValidSettings() {
   return R"(
 [daemon]
 zone = "sapporo-hall"
@@ -26,7 +26,7 @@
          bundle::GenerateKeyPair().public_key + "\"\n";
 }
 
-std::string FaultOf(const std::string& text) {
+std::string ErrorOf(const std::string& text) {
   return Recover<SettingsError>(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(ParseSettings(text, "daemon.toml"));
@@ -35,8 +35,8 @@
       [](const SettingsError& error) { return error.detail; });
 }
 
-TEST(SettingsTest, GoodFileIsRead) {
-  Settings settings = *ParseSettings(Good(), "daemon.toml");
+TEST(SettingsTest, ParsesValidFile) {
+  Settings settings = *ParseSettings(ValidSettings(), "daemon.toml");
   EXPECT_EQ(settings.zone, "sapporo-hall");
   EXPECT_EQ(settings.peer.port, 7101);
   EXPECT_EQ(settings.groups, 8);
@@ -46,19 +46,19 @@
   const char* name;
   const char* from;
   const char* to;
-  const char* said;
+  const char* expected;
 };
 
 class BadSettingsTest : public ::testing::TestWithParam<BadSettings> {};
 
-TEST_P(BadSettingsTest, IsRefusedInOneLineThatNamesFileKeyAndWhatIsAllowed) {
-  std::string text = Good();
+TEST_P(BadSettingsTest, IsRejectedWithFileKeyAndAllowedValuesInOneLine) {
+  std::string text = ValidSettings();
   std::string from = GetParam().from;
   text.replace(text.find(from), from.size(), GetParam().to);
-  std::string fault = FaultOf(text);
-  EXPECT_EQ(fault.rfind("daemon.toml: ", 0), 0U) << fault;
-  EXPECT_NE(fault.find(GetParam().said), std::string::npos) << fault;
-  EXPECT_EQ(fault.find('\n'), std::string::npos);
+  std::string error_message = ErrorOf(text);
+  EXPECT_EQ(error_message.rfind("daemon.toml: ", 0), 0U) << error_message;
+  EXPECT_NE(error_message.find(GetParam().expected), std::string::npos) << error_message;
+  EXPECT_EQ(error_message.find('\n'), std::string::npos);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -81,19 +81,20 @@
         BadSettings{"BadPublicKey", "public_key = \"", "public_key = \"zz", "Ed25519"}),
     [](const auto& info) { return info.param.name; });
 
-TEST(SettingsTest, MissingDataFolderIsNamed) {
-  Settings settings = *ParseSettings(Good(), "daemon.toml");
+TEST(SettingsTest, MissingDataDirectoryIsReported) {
+  Settings settings = *ParseSettings(ValidSettings(), "daemon.toml");
   settings.data_dir = "/nonexistent/folder";
-  std::string fault = Recover<SettingsError>(
+  std::string error_message = Recover<SettingsError>(
       [&]() -> Result<std::string> {
         BOOST_LEAF_CHECK(CheckMachine(settings, "daemon.toml"));
         return std::string();
       },
       [](const SettingsError& error) { return error.detail; });
-  EXPECT_NE(fault.find("/nonexistent/folder does not exist"), std::string::npos) << fault;
+  EXPECT_NE(error_message.find("/nonexistent/folder does not exist"), std::string::npos)
+      << error_message;
 }
 
-TEST(SettingsTest, OperationsPageHoldsTheReference) {
+TEST(SettingsTest, OperationsPageContainsTheReference) {
   std::ifstream page(std::string(MARTENYARD_SOURCES) + "/docs/OPERATIONS.md");
   std::ostringstream text;
   text << page.rdbuf();
