--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -222,7 +222,7 @@
   if (node_->MayExit()) {
     // A call has ended once its answer is with the server; its caller has it only later.
     server_->StopListening();
-    if (server_->unanswered() == 0) {
+    if (server_->unfinished_responses() == 0) {
       loop_.Stop();
       return;
     }
@@ -230,7 +230,7 @@
   if (SteadyNow() >= stop_deadline_) {
     std::string waits = node_->WhyNotExit();
     MARTENYARD_LOG_WARN(kLog, "The stop limit is over; " << (waits.empty() ? "" : waits + ", ")
-                                                         << server_->unanswered()
+                                                         << server_->unfinished_responses()
                                                          << " requests without a whole answer.");
     loop_.Stop();
   }
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -22,7 +22,7 @@
 constexpr absl::string_view kLengthHeader = "content-length:";
 constexpr absl::string_view kChunksHeader = "transfer-encoding:";
 
-/// One transfer, owned by the client's thread once it runs.
+/// State of one transfer; owned by the client's thread once started.
 struct Transfer {
   TransferId id = 0;
   ClientRequest request;
@@ -55,12 +55,12 @@
   return chunk.size();
 }
 
-/// Sees each header line of an answer, that of an interim one, too.
+/// Called for each header line, including those of interim (1xx) responses.
 std::size_t ReceiveHeader(char* data, std::size_t size, std::size_t count, void* context) {
   auto& transfer = *static_cast<Transfer*>(context);
   absl::string_view line(data, size * count);
   if (absl::StartsWith(line, kStatusLineStart)) {
-    transfer.result.framed = false;  // Another answer begins.
+    transfer.result.framed = false;  // A status line starts a new response.
   }
   for (absl::string_view name : {kLengthHeader, kChunksHeader}) {
     transfer.result.framed = transfer.result.framed || absl::StartsWithIgnoreCase(line, name);
@@ -92,7 +92,7 @@
   if (request.send_once) {
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
     curl_easy_setopt(handle, CURLOPT_FORBID_REUSE,
-                     1L);  // Nothing else may wait in the pool for it.
+                     1L);  // The connection must not return to the pool.
   }
   curl_easy_setopt(handle, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt(handle, CURLOPT_NOPROXY, "*");
@@ -180,7 +180,7 @@
     running_.clear();
   }
 
-  /// Takes what other threads asked for. @return false when the client stops.
+  /// Processes requests of other threads. @return false when the client stops.
   bool TakeRequests() {
     std::deque<std::unique_ptr<Transfer>> starting;
     std::deque<TransferId> cancelling;
@@ -228,7 +228,8 @@
   TransferId last_id_ = 0;
   std::deque<std::unique_ptr<Transfer>> starting_;
   std::deque<TransferId> cancelling_;
-  std::map<TransferId, std::unique_ptr<Transfer>> running_;  // Only the client's thread.
+  std::map<TransferId, std::unique_ptr<Transfer>>
+      running_;  // Accessed by the client's thread only.
   std::thread thread_;
 };
 
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -17,25 +17,25 @@
 struct ClientRequest {
   std::string method = "GET";
   std::string url;
-  std::vector<std::string> headers;  ///< Whole lines, "Name: value".
+  std::vector<std::string> headers;  ///< Complete lines, "Name: value".
   std::string body;
-  absl::Duration timeout = absl::Seconds(30);  ///< For the whole transfer; infinite allowed.
+  absl::Duration timeout = absl::Seconds(30);  ///< For the complete transfer; may be infinite.
   absl::Duration connect_timeout = absl::Seconds(1);
-  /// Goes over a connection of its own. Over one kept from an earlier transfer, libcurl sends a
-  /// request again by itself if that connection closes before the answer's first byte, and nothing
-  /// tells whether the first one was taken: for requests that must not run twice.
+  /// Uses a new connection, for requests that are not idempotent. On a reused connection, libcurl
+  /// retries a request if the connection closes before the first byte of the response, although
+  /// the server may have processed it.
   bool send_once = false;
 };
 
-/// How a transfer ended. `status` is 0 when no answer came.
+/// Result of a transfer. `status` is 0 if no response was received.
 struct ClientResult {
   int status = 0;
-  std::string body;   ///< Empty when the data callback took it.
-  std::string error;  ///< Empty when the whole answer arrived.
-  /// True if the answer said where its body ends, by a length or by chunks. The end of any other is
-  /// the connection's, and a body cut short by that looks whole.
+  std::string body;   ///< Empty if it was passed to the data callback.
+  std::string error;  ///< Empty if the complete response was received.
+  /// True if the response has a Content-Length or Transfer-Encoding header. Otherwise the body ends
+  /// when the connection closes, and truncation cannot be detected.
   bool framed = false;
-  bool connected = false;  ///< False: the request surely never left this machine.
+  bool connected = false;  ///< False: no byte of the request was sent.
   std::optional<int> retry_after_seconds;
 
   bool ok() const { return error.empty() && status >= 200 && status < 300; }
@@ -43,23 +43,23 @@
 
 using DataCallback = std::function<void(std::string_view)>;
 using DoneCallback = std::function<void(ClientResult)>;
-/// Names a transfer; ids are not used twice.
+/// Identifies a transfer; ids are not reused.
 using TransferId = std::uint64_t;
 
-/// Runs transfers. Callbacks run on the client's own thread, in order, `on_done` exactly once and
-/// last, unless the transfer was cancelled: then none runs after `Cancel` took effect.
+/// Runs transfers. Callbacks run in order on the client's own thread; `on_done` runs last and
+/// exactly once. After `Cancel` has taken effect, no callback runs.
 class Client {
  public:
   virtual ~Client() = default;
-  /// Thread-safe. `on_data` gets the body of an answer of status 2xx as it comes; any other body is
-  /// gathered into the result, so that a failure's words are never taken for the answer's. It may
-  /// be empty: then every body is gathered.
+  /// Thread-safe. `on_data` receives the body of a 2xx response as it arrives; any other body is
+  /// stored in the result, so that error bodies are not mistaken for data. If `on_data` is empty,
+  /// every body is stored in the result.
   virtual TransferId Start(ClientRequest request, DataCallback on_data, DoneCallback on_done) = 0;
-  /// Thread-safe; ends the transfer soon. Unknown ids are ignored.
+  /// Thread-safe and asynchronous. Unknown ids are ignored.
   virtual void Cancel(TransferId id) = 0;
-  /// Starts a transfer and waits for its end. Not to be called from a callback.
+  /// Runs a transfer and blocks until it ends. Must not be called from a callback.
   ClientResult Fetch(ClientRequest request);
-  /// The same, with the body handed to `on_data` on the client's thread as it comes.
+  /// As `Fetch`; `on_data` receives the body on the client's thread as it arrives.
   ClientResult FetchStreaming(ClientRequest request, DataCallback on_data);
 
   static std::unique_ptr<Client> Create();
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -22,10 +22,10 @@
 constexpr std::size_t kStreamBlockBytes = 16384;
 constexpr char kProblemType[] = "application/problem+json";
 
-/// The state of one request from its first header to the last byte of its answer.
+/// State of one request from its first header to the last byte of its response.
 ///
 /// Invariant: `connection_` is suspended exactly while `suspended_` is true; both change under
-/// `mutex_`, so a resume can't overtake the suspend it answers.
+/// `mutex_`, so a resume cannot precede its suspend.
 class Exchange : public Responder {
  public:
   explicit Exchange(MHD_Connection* connection) : connection_(connection) {}
@@ -36,7 +36,7 @@
       return;
     }
     response_ = std::move(response);
-    state_ = State::kWhole;
+    state_ = State::kComplete;
     ResumeLocked();
   }
 
@@ -88,8 +88,8 @@
     callback();
   }
 
-  /// Queues the answer if there is one, else suspends the connection until there is.
-  /// @param closes whether the answer asks the client to close the connection.
+  /// Queues the response if there is one; otherwise suspends the connection until there is.
+  /// @param closes whether the response carries "Connection: close".
   MHD_Result QueueOrSuspend(const std::shared_ptr<Exchange>& self, bool closes) {
     std::lock_guard lock(mutex_);
     if (state_ == State::kWaiting) {
@@ -98,7 +98,7 @@
       return MHD_YES;
     }
     MHD_Response* response = nullptr;
-    if (state_ == State::kWhole) {
+    if (state_ == State::kComplete) {
       response = MHD_create_response_from_buffer(response_.body.size(), response_.body.data(),
                                                  MHD_RESPMEM_MUST_COPY);
     } else {
@@ -118,7 +118,7 @@
     return queued;
   }
 
-  /// The connection is done with this exchange; tells the owner if the answer was cut short.
+  /// Detaches the connection; calls the disconnect callback if the response is incomplete.
   void Detach(bool complete) {
     std::function<void()> callback;
     {
@@ -135,8 +135,8 @@
     }
   }
 
-  /// Ends the answer because the server stops. A stream is cut: with a proper end, what its owner
-  /// had written so far would look like the whole answer.
+  /// Ends the response because the server stops. A stream is aborted without its final chunk, so
+  /// that the client detects the truncation.
   void Abort() {
     Response response;
     response.status = MHD_HTTP_SERVICE_UNAVAILABLE;
@@ -151,7 +151,7 @@
   bool handled = false;
 
  private:
-  enum class State { kWaiting, kWhole, kStreaming, kStreamEnded, kCut, kGone };
+  enum class State { kWaiting, kComplete, kStreaming, kStreamEnded, kCut, kGone };
 
   void ResumeLocked() {
     if (suspended_ && connection_ != nullptr) {
@@ -235,14 +235,14 @@
     draining_ = true;
     listener_ = MHD_quiesce_daemon(daemon_);
     if (listener_ != MHD_INVALID_SOCKET) {
-      // Whoever comes now is refused at once, rather than left in a queue that nobody reads.
+      // Rejects new connections immediately instead of leaving them in the accept queue.
       shutdown(listener_, SHUT_RDWR);
     }
   }
 
-  std::size_t unanswered() const override {
+  std::size_t unfinished_responses() const override {
     std::lock_guard lock(mutex_);
-    return unanswered_.size();
+    return unfinished_.size();
   }
 
   std::size_t Stop() override {
@@ -250,7 +250,7 @@
       return 0;
     }
     StopListening();
-    std::size_t cut = EndAnswers();
+    std::size_t cut = FinishResponses();
     MHD_stop_daemon(daemon_);
     daemon_ = nullptr;
     if (listener_ != MHD_INVALID_SOCKET) {
@@ -283,20 +283,20 @@
     return exchange->QueueOrSuspend(exchange, self.draining_);
   }
 
-  /// Answers what still waits, and lets the clients take their answers: closing a connection drops
-  /// what its server thread has not written yet, also of a call that ran and was stored.
-  /// @return how many answers had not left in time.
-  std::size_t EndAnswers() {
+  /// Aborts pending requests and waits until the responses have been written: closing a connection
+  /// discards what its server thread has not written yet.
+  /// @return the number of responses not written within the stop timeout.
+  std::size_t FinishResponses() {
     std::unique_lock lock(mutex_);
     stopping_ = true;
-    std::set<std::shared_ptr<Exchange>> waiting = unanswered_;
+    std::set<std::shared_ptr<Exchange>> waiting = unfinished_;
     lock.unlock();
     for (const auto& exchange : waiting) {
       exchange->Abort();
     }
     lock.lock();
-    answer_left_.wait_for(lock, options_.stop_patience, [this] { return unanswered_.empty(); });
-    return unanswered_.size();
+    response_written_.wait_for(lock, options_.stop_timeout, [this] { return unfinished_.empty(); });
+    return unfinished_.size();
   }
 
   void CollectBody(Exchange& exchange, const char* upload, std::size_t size) const {
@@ -312,7 +312,7 @@
     bool stopping = false;
     {
       std::lock_guard lock(mutex_);
-      unanswered_.insert(exchange);
+      unfinished_.insert(exchange);
       stopping = stopping_;
     }
     if (stopping) {
@@ -348,8 +348,8 @@
     *context = nullptr;
     {
       std::lock_guard lock(self.mutex_);
-      self.unanswered_.erase(exchange);
-      self.answer_left_.notify_all();
+      self.unfinished_.erase(exchange);
+      self.response_written_.notify_all();
     }
     exchange->Detach(code == MHD_REQUEST_TERMINATED_COMPLETED_OK);
   }
@@ -357,12 +357,12 @@
   ServerOptions options_;
   Handler handler_;
   MHD_Daemon* daemon_ = nullptr;
-  MHD_socket listener_ = MHD_INVALID_SOCKET;  // Once this server listens no more.
+  MHD_socket listener_ = MHD_INVALID_SOCKET;  // Set once the server has stopped listening.
   std::atomic<bool> draining_ = false;
   mutable std::mutex mutex_;
-  std::condition_variable answer_left_;
+  std::condition_variable response_written_;
   bool stopping_ = false;
-  std::set<std::shared_ptr<Exchange>> unanswered_;
+  std::set<std::shared_ptr<Exchange>> unfinished_;
 };
 
 }  // namespace
--- a/tests/http/server_test.cc
+++ b/tests/http/server_test.cc
@@ -1,11 +1,5 @@
-// How an answer ends when the server stops under it.
-//
-// Symptom: a caller's stream that the daemon's stop had cut off ended as a whole HTTP answer, and a
-// request that waited was told 503 without a problem, so without a word on its outcome.
-// Sequence: the stop limit passes with calls under way; the server stops and ends their answers.
-// Cause: a stream was ended as if its owner had finished it, so that the last chunk's end marker
-// was sent behind whatever stood there. What settled it: the client's transfer ended without an
-// error and with half of the events.
+// Responses while the server stops: guards against truncated streams that look complete to the
+// client, and against 503 responses without an outcome.
 #include "http/server.h"
 
 #include <gtest/gtest.h>
@@ -21,40 +15,40 @@
 namespace martenyard::http {
 namespace {
 
-/// A server that keeps what it is asked, and a client of it.
+/// A server that stores its request for the test, and a client.
 class StoppingServer {
  public:
   StoppingServer() {
     server_ = std::move(*Server::Start({}, [this](Request, std::shared_ptr<Responder> responder) {
       responder_ = std::move(responder);
-      asked_.Notify();
+      request_received_.Notify();
     }));
   }
 
-  /// Asks, answers so far with `answer`, which says whether text is to arrive first, stops the
-  /// server unless `finished`, and waits for the transfer's end.
-  template <typename Answer>
-  ClientResult AskAndStop(std::string* text, Answer answer, bool finished = false) {
+  /// Sends a request, calls `respond`, waits for body text if it returns true, stops the server
+  /// unless `finished`, and waits until the transfer ends.
+  template <typename Respond>
+  ClientResult RequestAndStop(std::string* text, Respond respond, bool finished = false) {
     ClientRequest request;
     request.url = absl::StrCat("http://127.0.0.1:", server_->port(), "/");
-    absl::Notification text_came;
+    absl::Notification text_received;
     absl::Notification ended;
     ClientResult result;
     client_->Start(
         std::move(request),
         [&](std::string_view bytes) {
           text->append(bytes);
-          if (!text_came.HasBeenNotified()) {
-            text_came.Notify();
+          if (!text_received.HasBeenNotified()) {
+            text_received.Notify();
           }
         },
-        [&](ClientResult told) {
-          result = std::move(told);
+        [&](ClientResult transfer_result) {
+          result = std::move(transfer_result);
           ended.Notify();
         });
-    asked_.WaitForNotification();
-    if (answer(*responder_)) {
-      text_came.WaitForNotification();
+    request_received_.WaitForNotification();
+    if (respond(*responder_)) {
+      text_received.WaitForNotification();
     }
     if (!finished) {
       server_->Stop();
@@ -65,21 +59,21 @@
 
  private:
   std::shared_ptr<Responder> responder_;
-  absl::Notification asked_;
+  absl::Notification request_received_;
   std::unique_ptr<Server> server_;
   std::unique_ptr<Client> client_ = Client::Create();
 };
 
-/// The stop and the answer's last bytes race; every order must be truthful.
+/// The stop races with the last bytes of the response; repeated to cover both orders.
 constexpr int kRounds = 50;
 
-TEST(MicrohttpdServerTest, StreamThatAStopCutsOffDoesNotLookWhole) {
+TEST(MicrohttpdServerTest, StreamAbortedByStopIsAnError) {
   for (int round = 0; round < kRounds; ++round) {
     SCOPED_TRACE(round);
     StoppingServer stopping;
     std::string half = round % 2 == 0 ? "data: one\n\n" : "data: one\n\ndata: tw";
     std::string text;
-    ClientResult result = stopping.AskAndStop(&text, [&half](Responder& responder) {
+    ClientResult result = stopping.RequestAndStop(&text, [&half](Responder& responder) {
       responder.StartStream(200, {});
       responder.Write(half);
       return true;
@@ -89,10 +83,10 @@
   }
 }
 
-TEST(MicrohttpdServerTest, StreamThatItsOwnerFinishedIsWhole) {
+TEST(MicrohttpdServerTest, FinishedStreamIsComplete) {
   StoppingServer stopping;
   std::string text;
-  ClientResult result = stopping.AskAndStop(
+  ClientResult result = stopping.RequestAndStop(
       &text,
       [](Responder& responder) {
         responder.StartStream(200, {});
@@ -105,31 +99,28 @@
   EXPECT_EQ(text, "data: one\n\n");
 }
 
-TEST(MicrohttpdServerTest, RequestThatWaitsThroughAStopHasAnUnknownOutcome) {
+TEST(MicrohttpdServerTest, PendingRequestHasUnknownOutcomeAfterStop) {
   for (int round = 0; round < kRounds; ++round) {
     SCOPED_TRACE(round);
     StoppingServer stopping;
     std::string text;
-    ClientResult result = stopping.AskAndStop(&text, [](Responder&) { return false; });
+    ClientResult result = stopping.RequestAndStop(&text, [](Responder&) { return false; });
     bool cut = !result.error.empty();
-    bool told_unknown =
+    bool outcome_unknown =
         result.status == 503 && result.body.find(R"("outcome":"unknown")") != std::string::npos;
-    EXPECT_TRUE(cut || told_unknown) << result.status << " " << result.body;
+    EXPECT_TRUE(cut || outcome_unknown) << result.status << " " << result.body;
   }
 }
 
-/// A call of martenyardd had run by a planned stop, and its caller saw the connection close with no
-/// answer, or in the middle of one. An answer is only handed to the server's threads, which write
-/// it; the stop looked at the calls, not at their answers, and closed the connections under it.
-/// What showed it: the daemons that cut answers logged nothing and stopped after 0.8 s, as the
-/// others did, and here, where the answers are too large for a socket's buffer, each of 50 was cut.
-TEST(MicrohttpdServerTest, AnswerGivenBeforeAStopReachesItsClientWhole) {
+/// Guards against closing connections before queued responses are written. The responses are larger
+/// than a socket buffer.
+TEST(MicrohttpdServerTest, ResponseSentBeforeStopIsComplete) {
   const std::string body(std::size_t{4} << 20, 'b');
   for (int round = 0; round < kRounds; ++round) {
     SCOPED_TRACE(round);
     StoppingServer stopping;
     std::string text;
-    ClientResult result = stopping.AskAndStop(&text, [&body](Responder& responder) {
+    ClientResult result = stopping.RequestAndStop(&text, [&body](Responder& responder) {
       responder.Send({200, {}, body});
       return false;
     });
@@ -139,13 +130,13 @@
   }
 }
 
-TEST(MicrohttpdServerTest, StreamFinishedBeforeAStopReachesItsClientWhole) {
+TEST(MicrohttpdServerTest, StreamFinishedBeforeStopIsComplete) {
   const std::string event = "data: " + std::string(std::size_t{1} << 20, 'e') + "\n\n";
   for (int round = 0; round < kRounds; ++round) {
     SCOPED_TRACE(round);
     StoppingServer stopping;
     std::string text;
-    ClientResult result = stopping.AskAndStop(&text, [&event](Responder& responder) {
+    ClientResult result = stopping.RequestAndStop(&text, [&event](Responder& responder) {
       responder.StartStream(200, {});
       responder.Write(event);
       responder.Finish();
