--- a/src/clients/base64.h
+++ b/src/clients/base64.h
@@ -1,4 +1,4 @@
-// Base64, as the etcd JSON gateway writes keys and values.
+// Base64 encoding of keys and values for the etcd JSON gateway.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 namespace martenyard::clients {
 
 std::string ToBase64(std::string_view bytes);
-/// @return the bytes, or nothing if `text` is not base64.
+/// @return the decoded bytes, or nullopt if `text` is not valid Base64.
 std::optional<std::string> FromBase64(std::string_view text);
 
 }  // namespace martenyard::clients
--- a/src/clients/etcd_key_value.cc
+++ b/src/clients/etcd_key_value.cc
@@ -15,7 +15,7 @@
 constexpr absl::Duration kTimeout = absl::Seconds(2);
 constexpr int kTooManyRequests = 429;
 
-/// The first key behind all those that start with `prefix`.
+/// Returns the exclusive end of the range of keys that start with `prefix`.
 std::string PrefixEnd(std::string prefix) {
   while (!prefix.empty()) {
     auto last = static_cast<unsigned char>(prefix.back());
@@ -28,7 +28,7 @@
   return std::string(1, '\0');
 }
 
-/// The gateway writes 64-bit numbers as text.
+/// The JSON gateway encodes 64-bit integers as strings.
 std::int64_t ReadInteger(const json& object, const char* name) {
   auto found = object.find(name);
   if (found == object.end()) {
@@ -37,8 +37,7 @@
   return found->is_string() ? std::stoll(found->get<std::string>()) : found->get<std::int64_t>();
 }
 
-/// @return the entries, or nothing if one can't be read: an entry with a part missing would be
-/// taken for what is stored.
+/// @return the entries, or nullopt if any key or value is not valid Base64.
 std::optional<std::vector<KeyValueEntry>> ReadEntries(const json& range) {
   std::vector<KeyValueEntry> entries;
   for (const json& item : range.value("kvs", json::array())) {
@@ -52,7 +51,7 @@
   return entries;
 }
 
-/// @return the answer that holds a range's entries; uncertain if they can't be read.
+/// @return a reply with the entries of a range; kUncertain if they cannot be decoded.
 KeyValueAnswer AnswerWith(KeyValueStatus status, const json& range) {
   std::optional<std::vector<KeyValueEntry>> entries = ReadEntries(range);
   return entries ? KeyValueAnswer{status, std::move(*entries)} : KeyValueAnswer{};
@@ -114,7 +113,7 @@
     request.headers = {"Content-Type: application/json"};
     request.body = body.dump();
     request.timeout = kTimeout;
-    request.send_once = true;  // A write repeated behind its own effect fails its own condition.
+    request.send_once = true;  // A retried conditional write would fail its own condition.
     auto deliver = [executor = executor_, reader,
                     on_answer = std::move(on_answer)](http::ClientResult result) {
       executor([answer = ReadAnswer(result, reader), on_answer] { on_answer(answer); });
@@ -137,7 +136,7 @@
       answer = {};
     }
     if (answer.status == KeyValueStatus::kUncertain) {
-      MARTENYARD_LOG_WARN(kLog, "An answer of the key-value service can't be read.");
+      MARTENYARD_LOG_WARN(kLog, "Failed to parse a response of the key-value service.");
     }
     return answer;
   }
--- a/src/clients/http_backends.cc
+++ b/src/clients/http_backends.cc
@@ -17,7 +17,7 @@
 constexpr int kNotFound = 404;
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
-/// Of a rejection's body, told to the caller; an engine may send any amount.
+/// Limits how much of an error body is copied into `detail`.
 constexpr std::size_t kMostDetailBytes = 4096;
 
 std::optional<BackendKind> ReadKind(const std::string& text) {
@@ -40,7 +40,7 @@
     for (const json& item : list.at("machines")) {
       std::optional<BackendKind> kind = ReadKind(item.at("kind").get<std::string>());
       if (!kind) {
-        continue;  // A newer platform may list kinds that are not ours to use.
+        continue;  // Ignore unknown kinds of later platform versions.
       }
       Backend backend;
       backend.name = BackendName(item.at("name").get<std::string>());
@@ -82,8 +82,8 @@
   return outcome;
 }
 
-/// @return true if the body is a JSON text that is surely not cut short. A number that the
-/// connection's end cut short is a number still; every other text tells its own end.
+/// @return true if the body is complete JSON. Without framing, a truncated number is still a valid
+/// number; any other truncated JSON value fails to parse.
 bool IsWholeResult(const http::ClientResult& result) {
   json value = json::parse(result.body, nullptr, /*allow_exceptions=*/false);
   return !value.is_discarded() && (result.framed || !value.is_number());
@@ -96,7 +96,7 @@
   if (result.ok() && IsWholeResult(result)) {
     outcome.status = ServiceOutcome::Status::kRan;
   } else if (result.ok()) {
-    outcome.detail = "its result is no whole JSON text";
+    outcome.detail = "the result is not complete JSON";
   } else if (!result.connected || result.status == kServiceUnavailable ||
              result.status == kTooManyRequests) {
     outcome.status = ServiceOutcome::Status::kNotRun;
@@ -122,14 +122,14 @@
                     if (result.ok()) {
                       machines = ReadMachines(result.body);
                       if (!machines) {
-                        MARTENYARD_LOG_WARN(kLog, "The machine list can't be read.");
+                        MARTENYARD_LOG_WARN(kLog, "Failed to parse the machine list.");
                       }
                     }
                     executor([machines, on_list] { on_list(machines); });
                   });
   }
 
-  // The JSON texts of both kinds of request are the gateway's own: a parse that fails can't occur.
+  // `messages` and `arguments` are JSON serialized by the gateway, so parsing cannot fail.
 
   Handle StartModel(const ModelRequest& request, std::function<void(std::string)> on_text,
                     std::function<void(ModelOutcome)> on_done) override {
@@ -154,11 +154,12 @@
       bool sound = stream->fault().empty();
       stream->Feed(bytes);
       if (sound && !stream->fault().empty()) {
-        MARTENYARD_LOG_WARN(kLog, "Broke off a run at " << url << ": " << stream->fault() << ".");
+        MARTENYARD_LOG_WARN(kLog,
+                            "Canceled a model call at " << url << ": " << stream->fault() << ".");
         ModelOutcome outcome;
         outcome.detail = stream->fault();
         IfLive(handle, [this, handle, on_done, outcome] {
-          Cancel(handle);  // Its tokens are of no use to anybody.
+          Cancel(handle);  // Its remaining output would be discarded.
           on_done(outcome);
         });
       }
@@ -224,7 +225,7 @@
                     if (result.ok()) {
                       contexts = ReadContexts(result.body);
                       if (!contexts) {
-                        MARTENYARD_LOG_WARN(kLog, "An engine's list of contexts can't be read.");
+                        MARTENYARD_LOG_WARN(kLog, "Failed to parse an engine's list of contexts.");
                       }
                     }
                     executor([contexts, on_list] { on_list(contexts); });
@@ -240,7 +241,7 @@
     request.headers = {"Content-Type: application/json"};
     request.body = body.dump();
     request.timeout = timeout;
-    request.send_once = true;  // It makes a back end work.
+    request.send_once = true;  // Not idempotent.
     return request;
   }
 
@@ -275,7 +276,7 @@
   std::string machine_list_url_;
   Executor executor_;
   Handle last_handle_ = 0;
-  // Both only touched on the executor's thread.
+  // Both are accessed only on the executor's thread.
   std::shared_ptr<std::set<Handle>> live_;
   std::map<Handle, http::TransferId> transfers_;
 };
--- a/src/clients/model_stream.cc
+++ b/src/clients/model_stream.cc
@@ -10,17 +10,17 @@
 
 constexpr char kEnd[] = "[DONE]";
 constexpr char kErrorEvent[] = "error";
-/// The engine's word that it goes on after so many bytes of `resume_text`.
+/// Number of bytes of `resume_text` after which the engine continues.
 constexpr char kPlace[] = "resumed_bytes";
 
-/// @return the member, or null where it is missing: engines send null for what they don't have.
+/// @return the member, or null if missing; engines send null for absent values.
 const json& MemberOrNull(const json& object, const char* name) {
   static const json kNull;
   auto found = object.find(name);
   return found == object.end() ? kNull : *found;
 }
 
-/// Reads a count. @return false if the member is there and is none.
+/// Reads a non-negative integer. @return false if the member is present but invalid.
 bool ReadCount(const json& object, const char* name, std::int64_t* count) {
   const json& member = MemberOrNull(object, name);
   if (member.is_null()) {
@@ -42,24 +42,24 @@
           [this](const std::string& event, const std::string& data) { TakeEvent(event, data); }) {}
 
 void ModelStream::TakeEvent(const std::string& event, const std::string& data) {
-  // Nothing is owed to what comes after the end that the engine told, or after a fault.
+  // Ignore data after the end of the stream or after a failure.
   if (finished_ || !fault_.empty()) {
     return;
   }
   if (event == kErrorEvent) {
-    fault_ = "the engine told an error";
+    fault_ = "the engine reported an error";
     return;
   }
   if (data == kEnd) {
     if (accounted_ < resume_text_.size()) {
-      fault_ = "the resumed run ended before the place where it was to go on";
+      fault_ = "the resumed stream ended before the resume position";
     }
     finished_ = true;
     return;
   }
   json chunk = json::parse(data, nullptr, /*allow_exceptions=*/false);
   if (!chunk.is_object()) {
-    fault_ = "a chunk is no JSON object";
+    fault_ = "a chunk is not a JSON object";
     return;
   }
   TakeChunk(chunk);
@@ -67,7 +67,7 @@
 
 void ModelStream::TakeChunk(const Json& chunk) {
   if (!MemberOrNull(chunk, kErrorEvent).is_null()) {
-    fault_ = "the engine told an error";
+    fault_ = "the engine reported an error";
     return;
   }
   TakePlace(chunk);
@@ -79,7 +79,7 @@
        ReadCount(usage, "completion_tokens", &usage_.completion_tokens));
   const json& choices = MemberOrNull(chunk, "choices");
   if (!good_usage || (!choices.is_null() && !choices.is_array())) {
-    fault_ = "a chunk's usage or choices can't be read";
+    fault_ = "a chunk has invalid usage or choices";
   }
   if (!choices.is_array()) {
     return;
@@ -100,17 +100,17 @@
   bool right = ReadCount(chunk, kPlace, &place) &&
                place == static_cast<std::int64_t>(resume_text_.size()) && !text_came_;
   if (!right) {
-    fault_ = "the run goes on elsewhere than it was to";
+    fault_ = "the stream was resumed at the wrong position";
     return;
   }
   accounted_ = resume_text_.size();
 }
 
 void ModelStream::TakeChoice(const Json& choice) {
-  // One choice is asked for; another one's text is no part of the answer.
+  // Only one choice is requested; other choices are invalid.
   std::int64_t index = 0;
   if (!choice.is_object() || !ReadCount(choice, "index", &index) || index != 0) {
-    fault_ = "a chunk's choice can't be read or was not asked for";
+    fault_ = "a chunk has an invalid or unrequested choice";
     return;
   }
   const json& delta = MemberOrNull(choice, "delta");
@@ -118,24 +118,24 @@
     return;
   }
   if (!delta.is_object()) {
-    fault_ = "a chunk's delta can't be read";
+    fault_ = "a chunk has an invalid delta";
     return;
   }
   const json& content = MemberOrNull(delta, "content");
   if (content.is_string()) {
     TakeText(content.get<std::string>());
   } else if (!content.is_null()) {
-    fault_ = "a chunk's content is no text";
+    fault_ = "a chunk's content is not a string";
   }
 }
 
 void ModelStream::TakeText(std::string text) {
   text_came_ = text_came_ || !text.empty();
-  // A run that did not say that it goes on is held to begin anew, as an engine does that does not
-  // know `resume_text`. It must make the earlier text again; that part is not handed on twice.
+  // An engine that reports no resume position starts over, since it may not support `resume_text`.
+  // It must repeat the earlier text, which is not passed on again.
   std::size_t again = std::min(text.size(), resume_text_.size() - accounted_);
   if (resume_text_.compare(accounted_, again, text, 0, again) != 0) {
-    fault_ = "the resumed run neither says where it goes on nor makes the earlier text again";
+    fault_ = "the resumed stream neither reports its position nor repeats the earlier text";
     return;
   }
   accounted_ += again;
--- a/src/clients/sse.h
+++ b/src/clients/sse.h
@@ -1,4 +1,4 @@
-// Server-sent events: cuts a byte stream into the data of its events.
+// Parser and formatter of server-sent events (SSE).
 #pragma once
 
 #include <functional>
@@ -7,7 +7,7 @@
 
 namespace martenyard::clients {
 
-/// Feed bytes as they come; each whole event's `event` name and `data` are handed on.
+/// Incremental parser; calls back with the `event` name and `data` of each complete event.
 class SseParser {
  public:
   using EventCallback = std::function<void(const std::string& event, const std::string& data)>;
@@ -24,7 +24,7 @@
   std::string data_;
 };
 
-/// @return one event in wire form.
+/// @return one serialized event.
 std::string FormatSseEvent(std::string_view event, std::string_view data);
 
 }  // namespace martenyard::clients
--- a/tests/clients/http_backends_test.cc
+++ b/tests/clients/http_backends_test.cc
@@ -1,16 +1,5 @@
-// The contract of clients::BackendClient over HTTP: what a back end sent becomes the caller's
-// answer only if one run is proven to have made it, whole and once.
-//
-// Symptoms: the stored turn lacked a piece in the middle, went on behind its own end, or held its
-// beginning twice; the process ended on a chunk without text; a tool that may run once ran twice.
-// Sequences and causes: a chunk that could not be read was passed over in silence, and `[DONE]`
-// then made the rest a whole answer. Text behind `[DONE]`, and the body of a failure, went the same
-// way as the answer's text. An engine that does not know `resume_text` began from the start, and
-// nothing compared its text with what had been passed on. `"content":null` threw through libcurl. A
-// connection that was kept from an earlier transfer closed before any byte of the answer came, and
-// libcurl then sent the request a second time by itself.
-// What settled it: the joined text and the outcome below, and the requests that the server counted:
-// 3 where 2 calls were made.
+// Contract tests of clients::BackendClient over HTTP: guard against lost, repeated or trailing text
+// of a stream, exceptions on null content, and requests retried by libcurl.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -37,7 +26,7 @@
 using testing::Unframed;
 using Status = ModelOutcome::Status;
 
-/// Runs tasks where the test waits, one after the other, as an event loop does.
+/// Runs tasks in order on the waiting test thread, like an event loop.
 class TaskQueue {
  public:
   void Post(std::function<void()> task) {
@@ -50,7 +39,7 @@
       RunOne();
     }
   }
-  /// Returns when a task waits, which it leaves there.
+  /// Waits until a task is queued, without running it.
   void Await() {
     absl::MutexLock lock(&mutex_);
     mutex_.Await(absl::Condition(
@@ -87,7 +76,7 @@
     static const bool quiet = InitLogging("off", LogFormat::kText);
     EXPECT_TRUE(quiet);
   }
-  ~HttpBackends() { http_.reset(); }  // Its thread calls into the others until it is joined.
+  ~HttpBackends() { http_.reset(); }  // Joins the thread that uses the other members.
 
   BackendClient& client() { return *backends_; }
   ScriptedServer& server() { return server_; }
@@ -147,12 +136,12 @@
 
 constexpr char kDone[] = "data: [DONE]\n\n";
 
-/// What must become of one run's stream.
+/// The expected outcome of one stream.
 struct StreamCase {
   const char* name;
   std::string body;
   Status status;
-  std::string text;  ///< Passed on, exactly.
+  std::string text;  ///< The exact text passed on.
   int http_status = 200;
 };
 
@@ -247,11 +236,7 @@
   EXPECT_EQ(backends.server().requests().size(), 2U);
 }
 
-/// Symptom: a tool's result was cut short and stored as whole.
-/// Sequence: a service that sends no length dies after the first bytes of a number.
-/// Cause: the connection's end was believed to be the answer's; most JSON texts tell their own end,
-/// a number does not.
-/// What settled it: `12` of `123` was told as run.
+/// Guards against accepting a truncated number in a response without framing as a complete result.
 TEST(HttpBackendsTest, ResultIsWholeOnlyIfSomethingTellsItsEnd) {
   struct Case {
     const char* name;
@@ -296,7 +281,7 @@
   auto handle = backends.client().StartModel(
       backends.Model(""), [&text](const std::string& piece) { text += piece; },
       [&ended](const ModelOutcome&) { ended = true; });
-  backends.tasks().Await();  // Its text waits for the loop while it is cancelled.
+  backends.tasks().Await();  // The text is queued when the call is cancelled.
   backends.client().Cancel(handle);
   EXPECT_EQ(backends.RunModel("", &text).status, Status::kFinished);
   EXPECT_EQ(text, "new");
--- a/tests/clients/key_value_test.cc
+++ b/tests/clients/key_value_test.cc
@@ -1,5 +1,5 @@
-// The contract of clients::KeyValue, against the etcd client with the emulator and against the
-// simulator's own; and what only the emulator has: leases, watches, the rate limit.
+// Contract tests of clients::KeyValue for the etcd client and the simulator, and tests of the
+// emulator's leases, watches and rate limit.
 #include "clients/key_value.h"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
  public:
   virtual ~Subject() = default;
   virtual KeyValue& store() = 0;
-  /// Runs the request that `start` makes and waits for its answer.
+  /// Starts a request and waits for its reply.
   virtual KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) = 0;
   virtual void LoseNextAnswer() = 0;
 };
@@ -159,12 +159,8 @@
   return AwaitEtcd([&](KeyValue::Callback done) { store->Get("k", std::move(done)); });
 }
 
-/// Symptom: a conditional write that took effect was told as lost to another writer.
-/// Sequence: the service does the write on a connection kept from an earlier request and closes it
-/// without an answer; libcurl sends the write again by itself, whose condition no longer holds.
-/// Cause: the client left it to libcurl whether a request may be sent twice.
-/// What settled it: the server counted three requests for one read and one write, and the answer
-/// was `kConditionFailed`.
+/// Guards against libcurl retrying a conditional write on a reused connection, which then fails its
+/// own condition.
 TEST(EtcdKeyValueTest, ConditionalWriteIsSentOnceThoughAKeptConnectionCloses) {
   testing::ScriptedServer server(
       {testing::Framed(200, "{}"), {"", true}, testing::Framed(200, R"({"succeeded":false})")});
@@ -178,10 +174,7 @@
   EXPECT_EQ(server.requests().size(), 2U);
 }
 
-/// Symptom: an entry whose bytes could not be read was taken for one with an empty key and value.
-/// Sequence: an answer of the service, or of what stands before it, holds no Base64 text.
-/// Cause: the failed decoding was turned into an empty text.
-/// What settled it: the answer was `kDone` with one entry, both texts empty.
+/// Guards against decoding invalid Base64 as an empty key or value.
 TEST(EtcdKeyValueTest, EntryThatCannotBeReadIsNoAnswer) {
   for (const char* entry : {R"({"key":"aw==","value":"!!"})", R"({"key":"!!","value":"dg=="})",
                             R"({"key":7,"value":"dg=="})"}) {
