--- a/src/bundle/roll_manager.cc
+++ b/src/bundle/roll_manager.cc
@@ -9,7 +9,7 @@
 namespace martenyard::bundle {
 namespace {
 
-using clients::KeyValueAnswer;
+using clients::KeyValueReply;
 using clients::KeyValueStatus;
 using nlohmann::json;
 
@@ -84,7 +84,7 @@
   std::string hash = Sha256(text);
   json value = {{"bundle", text}, {"signature", signature}};
   store_.PutIf(BundleKey(bundle->partner, hash), 0, value.dump(),
-               [hash, on_answer = std::move(on_answer)](const KeyValueAnswer& answer) {
+               [hash, on_answer = std::move(on_answer)](const KeyValueReply& answer) {
                  OperatorAnswer told;
                  told.detail = hash;
                  switch (answer.status) {
@@ -143,7 +143,7 @@
 void RollManager::LoadBundle(std::shared_ptr<RollAttempt> attempt) {
   const RollStatement& statement = attempt->roll.statement;
   store_.Get(BundleKey(statement.partner, statement.bundle_hash),
-             [this, attempt](const KeyValueAnswer& answer) {
+             [this, attempt](const KeyValueReply& answer) {
                if (answer.status != KeyValueStatus::kDone) {
                  Finish(*attempt, OperatorAnswer::Code::kUnavailable,
                         "the key-value service does not answer; nothing was changed", 0);
@@ -171,7 +171,7 @@
     return;
   }
   store_.Get(RollKey(attempt->roll.statement.partner), [this,
-                                                        attempt](const KeyValueAnswer& answer) {
+                                                        attempt](const KeyValueReply& answer) {
     if (answer.status != KeyValueStatus::kDone) {
       ReadPresent(attempt);
       return;
@@ -208,7 +208,7 @@
 void RollManager::Write(std::shared_ptr<RollAttempt> attempt, std::int64_t revision) {
   // The statement itself tells this write from any other: reading it back resolves a lost answer.
   store_.PutIf(RollKey(attempt->roll.statement.partner), revision, RollToJson(attempt->roll),
-               [this, attempt](const KeyValueAnswer& answer) {
+               [this, attempt](const KeyValueReply& answer) {
                  if (answer.status == KeyValueStatus::kDone) {
                    on_roll_(attempt->roll);
                    Finish(*attempt, OperatorAnswer::Code::kAccepted, "in force",
@@ -221,7 +221,7 @@
 }
 
 void RollManager::Poll(const std::function<void(bool answered)>& on_end) {
-  store_.GetPrefix(kRollPrefix, [this, on_end](const KeyValueAnswer& answer) {
+  store_.GetPrefix(kRollPrefix, [this, on_end](const KeyValueReply& answer) {
     on_end(answer.status == KeyValueStatus::kDone);
     if (answer.status != KeyValueStatus::kDone) {
       return;
--- a/src/clients/backends.h
+++ b/src/clients/backends.h
@@ -26,7 +26,7 @@
   ZoneName zone;
   std::string url;
   int slots = 1;  ///< Engines: maximum batch size.
-  bool leaving = false;
+  bool draining = false;
 
   friend bool operator==(const Backend&, const Backend&) = default;
 };
@@ -60,7 +60,7 @@
 struct ModelOutcome {
   enum class Status {
     kFinished,
-    kLeaving,   ///< The engine accepts no new requests; nothing ran.
+    kDraining,  ///< The engine accepts no new requests; nothing ran.
     kRefused,   ///< Overloaded or unreachable; nothing ran.
     kRejected,  ///< Invalid request; not to be retried elsewhere.
     kBroken,    ///< Truncated or invalid stream; text already passed on is valid.
@@ -86,7 +86,7 @@
 };
 
 /// A context cached by an engine.
-struct HeldContext {
+struct CachedContext {
   std::string id;
   std::int64_t tokens = 0;
 };
@@ -108,7 +108,7 @@
                               std::function<void(bool)> on_done) = 0;
   virtual void ListContexts(
       const std::string& engine_url,
-      std::function<void(std::optional<std::vector<HeldContext>>)> on_list) = 0;
+      std::function<void(std::optional<std::vector<CachedContext>>)> on_list) = 0;
 };
 
 std::unique_ptr<BackendClient> CreateHttpBackendClient(http::Client& client,
--- a/src/clients/etcd_key_value.cc
+++ b/src/clients/etcd_key_value.cc
@@ -52,19 +52,19 @@
 }
 
 /// @return a reply with the entries of a range; kUncertain if they cannot be decoded.
-KeyValueAnswer AnswerWith(KeyValueStatus status, const json& range) {
+KeyValueReply ReplyWith(KeyValueStatus status, const json& range) {
   std::optional<std::vector<KeyValueEntry>> entries = ReadEntries(range);
-  return entries ? KeyValueAnswer{status, std::move(*entries)} : KeyValueAnswer{};
+  return entries ? KeyValueReply{status, std::move(*entries)} : KeyValueReply{};
 }
 
-KeyValueAnswer ReadTransaction(const json& body) {
+KeyValueReply ReadTransaction(const json& body) {
   if (body.value("succeeded", false)) {
     return {KeyValueStatus::kDone, {}};
   }
   for (const json& response : body.value("responses", json::array())) {
     auto range = response.find("response_range");
     if (range != response.end()) {
-      return AnswerWith(KeyValueStatus::kConditionFailed, *range);
+      return ReplyWith(KeyValueStatus::kConditionFailed, *range);
     }
   }
   return {KeyValueStatus::kConditionFailed, {}};
@@ -75,17 +75,17 @@
   EtcdKeyValue(http::Client& client, std::string base_url, Executor executor)
       : client_(client), base_url_(std::move(base_url)), executor_(std::move(executor)) {}
 
-  void Get(const std::string& key, Callback on_answer) override {
-    Range(json{{"key", ToBase64(key)}}, std::move(on_answer));
+  void Get(const std::string& key, Callback on_reply) override {
+    Range(json{{"key", ToBase64(key)}}, std::move(on_reply));
   }
 
-  void GetPrefix(const std::string& prefix, Callback on_answer) override {
+  void GetPrefix(const std::string& prefix, Callback on_reply) override {
     Range(json{{"key", ToBase64(prefix)}, {"range_end", ToBase64(PrefixEnd(prefix))}},
-          std::move(on_answer));
+          std::move(on_reply));
   }
 
   void PutIf(const std::string& key, std::int64_t expected_revision, const std::string& value,
-             Callback on_answer) override {
+             Callback on_reply) override {
     json compare = {{"key", ToBase64(key)},
                     {"target", "MOD"},
                     {"result", "EQUAL"},
@@ -95,18 +95,18 @@
     json body = {{"compare", json::array({compare})},
                  {"success", json::array({put})},
                  {"failure", json::array({read})}};
-    Post("/v3/kv/txn", body, &ReadTransaction, std::move(on_answer));
+    Post("/v3/kv/txn", body, &ReadTransaction, std::move(on_reply));
   }
 
  private:
-  using Reader = KeyValueAnswer (*)(const json&);
+  using Reader = KeyValueReply (*)(const json&);
 
-  void Range(const json& body, Callback on_answer) {
-    Reader reader = [](const json& reply) { return AnswerWith(KeyValueStatus::kDone, reply); };
-    Post("/v3/kv/range", body, reader, std::move(on_answer));
+  void Range(const json& body, Callback on_reply) {
+    Reader reader = [](const json& reply) { return ReplyWith(KeyValueStatus::kDone, reply); };
+    Post("/v3/kv/range", body, reader, std::move(on_reply));
   }
 
-  void Post(const std::string& path, const json& body, Reader reader, Callback on_answer) {
+  void Post(const std::string& path, const json& body, Reader reader, Callback on_reply) {
     http::ClientRequest request;
     request.method = "POST";
     request.url = base_url_ + path;
@@ -115,30 +115,30 @@
     request.timeout = kTimeout;
     request.send_once = true;  // A retried conditional write would fail its own condition.
     auto deliver = [executor = executor_, reader,
-                    on_answer = std::move(on_answer)](http::ClientResult result) {
-      executor([answer = ReadAnswer(result, reader), on_answer] { on_answer(answer); });
+                    on_reply = std::move(on_reply)](http::ClientResult result) {
+      executor([reply = ReadReply(result, reader), on_reply] { on_reply(reply); });
     };
     client_.Start(std::move(request), nullptr, std::move(deliver));
   }
 
-  static KeyValueAnswer ReadAnswer(const http::ClientResult& result, Reader reader) {
-    KeyValueAnswer answer;
+  static KeyValueReply ReadReply(const http::ClientResult& result, Reader reader) {
+    KeyValueReply reply;
     if (!result.connected || result.status == kTooManyRequests) {
-      answer.status = KeyValueStatus::kRefused;
-      return answer;
+      reply.status = KeyValueStatus::kRefused;
+      return reply;
     }
     if (!result.ok()) {
-      return answer;
+      return reply;
     }
     try {
-      answer = reader(json::parse(result.body));
+      reply = reader(json::parse(result.body));
     } catch (const std::exception&) {
-      answer = {};
+      reply = {};
     }
-    if (answer.status == KeyValueStatus::kUncertain) {
+    if (reply.status == KeyValueStatus::kUncertain) {
       MARTENYARD_LOG_WARN(kLog, "Failed to parse a response of the key-value service.");
     }
-    return answer;
+    return reply;
   }
 
   http::Client& client_;
--- a/src/clients/http_backends.cc
+++ b/src/clients/http_backends.cc
@@ -18,7 +18,7 @@
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 /// Limits how much of an error body is copied into `detail`.
-constexpr std::size_t kMostDetailBytes = 4096;
+constexpr std::size_t kMaxDetailBytes = 4096;
 
 std::optional<BackendKind> ReadKind(const std::string& text) {
   if (text == "engine") {
@@ -50,7 +50,7 @@
       backend.zone = ZoneName(item.at("zone").get<std::string>());
       backend.url = item.at("url").get<std::string>();
       backend.slots = item.value("slots", 1);
-      backend.leaving = item.value("state", "live") != "live";
+      backend.draining = item.value("state", "live") != "live";
       machines.push_back(std::move(backend));
     }
     return machines;
@@ -62,18 +62,18 @@
 ModelOutcome ReadModelOutcome(const http::ClientResult& result, const ModelStream& stream) {
   ModelOutcome outcome;
   outcome.usage = stream.usage();
-  outcome.detail = stream.fault().empty() ? result.error : stream.fault();
+  outcome.detail = stream.failure().empty() ? result.error : stream.failure();
   if (result.ok() && stream.finished()) {
     outcome.status = ModelOutcome::Status::kFinished;
   } else if (result.status == kServiceUnavailable &&
              result.body.find("leaving") != std::string::npos) {
-    outcome.status = ModelOutcome::Status::kLeaving;
+    outcome.status = ModelOutcome::Status::kDraining;
   } else if (!result.connected || result.status == kServiceUnavailable ||
              result.status == kTooManyRequests) {
     outcome.status = ModelOutcome::Status::kRefused;
   } else if (result.status >= 400 && result.status < 500) {
     outcome.status = ModelOutcome::Status::kRejected;
-    outcome.detail = result.body.substr(0, kMostDetailBytes);
+    outcome.detail = result.body.substr(0, kMaxDetailBytes);
   }
   if (outcome.detail.empty()) {
     outcome.detail =
@@ -84,7 +84,7 @@
 
 /// @return true if the body is complete JSON. Without framing, a truncated number is still a valid
 /// number; any other truncated JSON value fails to parse.
-bool IsWholeResult(const http::ClientResult& result) {
+bool IsCompleteResult(const http::ClientResult& result) {
   json value = json::parse(result.body, nullptr, /*allow_exceptions=*/false);
   return !value.is_discarded() && (result.framed || !value.is_number());
 }
@@ -93,7 +93,7 @@
   ServiceOutcome outcome;
   outcome.result = result.body;
   outcome.detail = result.error.empty() ? "status " + std::to_string(result.status) : result.error;
-  if (result.ok() && IsWholeResult(result)) {
+  if (result.ok() && IsCompleteResult(result)) {
     outcome.status = ServiceOutcome::Status::kRan;
   } else if (result.ok()) {
     outcome.detail = "the result is not complete JSON";
@@ -110,7 +110,7 @@
       : client_(client),
         machine_list_url_(std::move(machine_list_url)),
         executor_(std::move(executor)),
-        live_(std::make_shared<std::set<Handle>>()) {}
+        active_(std::make_shared<std::set<Handle>>()) {}
 
   void FetchMachines(MachineListCallback on_list) override {
     http::ClientRequest request;
@@ -145,20 +145,20 @@
     }
     http::ClientRequest post = Post(request.url + "/v1/chat/completions", body, request.timeout);
     Handle handle = ++last_handle_;
-    live_->insert(handle);
+    active_->insert(handle);
     auto text_on_loop = [this, handle, on_text = std::move(on_text)](std::string text) {
-      IfLive(handle, [on_text, text = std::move(text)] { on_text(text); });
+      RunIfActive(handle, [on_text, text = std::move(text)] { on_text(text); });
     };
     auto stream = std::make_shared<ModelStream>(request.resume_text, std::move(text_on_loop));
     auto on_data = [this, handle, stream, on_done, url = request.url](std::string_view bytes) {
-      bool sound = stream->fault().empty();
+      bool was_valid = stream->failure().empty();
       stream->Feed(bytes);
-      if (sound && !stream->fault().empty()) {
+      if (was_valid && !stream->failure().empty()) {
         MARTENYARD_LOG_WARN(kLog,
-                            "Canceled a model call at " << url << ": " << stream->fault() << ".");
+                            "Canceled a model call at " << url << ": " << stream->failure() << ".");
         ModelOutcome outcome;
-        outcome.detail = stream->fault();
-        IfLive(handle, [this, handle, on_done, outcome] {
+        outcome.detail = stream->failure();
+        RunIfActive(handle, [this, handle, on_done, outcome] {
           Cancel(handle);  // Its remaining output would be discarded.
           on_done(outcome);
         });
@@ -166,8 +166,8 @@
     };
     auto on_end = [this, handle, stream, on_done](http::ClientResult result) {
       ModelOutcome outcome = ReadModelOutcome(result, *stream);
-      IfLive(handle, [this, handle, on_done, outcome] {
-        Forget(handle);
+      RunIfActive(handle, [this, handle, on_done, outcome] {
+        Erase(handle);
         on_done(outcome);
       });
     };
@@ -181,11 +181,11 @@
     http::ClientRequest post = Post(request.url + "/invoke", body, request.timeout);
     post.headers.push_back("Idempotency-Key: " + request.request_key);
     Handle handle = ++last_handle_;
-    live_->insert(handle);
+    active_->insert(handle);
     auto on_end = [this, handle, on_done = std::move(on_done)](http::ClientResult result) {
       ServiceOutcome outcome = ReadServiceOutcome(result);
-      IfLive(handle, [this, handle, on_done, outcome] {
-        Forget(handle);
+      RunIfActive(handle, [this, handle, on_done, outcome] {
+        Erase(handle);
         on_done(outcome);
       });
     };
@@ -198,7 +198,7 @@
     if (found != transfers_.end()) {
       client_.Cancel(found->second);
     }
-    Forget(handle);
+    Erase(handle);
   }
 
   void ReleaseContext(const std::string& engine_url, const std::string& context_id,
@@ -209,19 +209,20 @@
     request.timeout = kControlTimeout;
     client_.Start(std::move(request), nullptr,
                   [executor = executor_, on_done = std::move(on_done)](http::ClientResult result) {
-                    bool gone = result.ok() || result.status == kNotFound;
-                    executor([gone, on_done] { on_done(gone); });
+                    bool released = result.ok() || result.status == kNotFound;
+                    executor([released, on_done] { on_done(released); });
                   });
   }
 
-  void ListContexts(const std::string& engine_url,
-                    std::function<void(std::optional<std::vector<HeldContext>>)> on_list) override {
+  void ListContexts(
+      const std::string& engine_url,
+      std::function<void(std::optional<std::vector<CachedContext>>)> on_list) override {
     http::ClientRequest request;
     request.url = engine_url + "/contexts";
     request.timeout = kControlTimeout;
     client_.Start(std::move(request), nullptr,
                   [executor = executor_, on_list = std::move(on_list)](http::ClientResult result) {
-                    std::optional<std::vector<HeldContext>> contexts;
+                    std::optional<std::vector<CachedContext>> contexts;
                     if (result.ok()) {
                       contexts = ReadContexts(result.body);
                       if (!contexts) {
@@ -245,9 +246,9 @@
     return request;
   }
 
-  static std::optional<std::vector<HeldContext>> ReadContexts(const std::string& body) {
+  static std::optional<std::vector<CachedContext>> ReadContexts(const std::string& body) {
     try {
-      std::vector<HeldContext> contexts;
+      std::vector<CachedContext> contexts;
       const json list = json::parse(body);
       for (const json& item : list.at("contexts")) {
         contexts.push_back(
@@ -259,14 +260,14 @@
     }
   }
 
-  void Forget(Handle handle) {
-    live_->erase(handle);
+  void Erase(Handle handle) {
+    active_->erase(handle);
     transfers_.erase(handle);
   }
 
-  void IfLive(Handle handle, std::function<void()> task) {
-    executor_([live = live_, handle, task = std::move(task)] {
-      if (live->contains(handle)) {
+  void RunIfActive(Handle handle, std::function<void()> task) {
+    executor_([active = active_, handle, task = std::move(task)] {
+      if (active->contains(handle)) {
         task();
       }
     });
@@ -277,7 +278,7 @@
   Executor executor_;
   Handle last_handle_ = 0;
   // Both are accessed only on the executor's thread.
-  std::shared_ptr<std::set<Handle>> live_;
+  std::shared_ptr<std::set<Handle>> active_;
   std::map<Handle, http::TransferId> transfers_;
 };
 
--- a/src/clients/key_value.h
+++ b/src/clients/key_value.h
@@ -25,7 +25,7 @@
   kUncertain,        ///< No valid response; a write may have taken effect.
 };
 
-struct KeyValueAnswer {
+struct KeyValueReply {
   KeyValueStatus status = KeyValueStatus::kUncertain;
   std::vector<KeyValueEntry> entries;
 };
@@ -33,15 +33,15 @@
 /// Callbacks run on the executor given to the implementation.
 class KeyValue {
  public:
-  using Callback = std::function<void(KeyValueAnswer)>;
+  using Callback = std::function<void(KeyValueReply)>;
   virtual ~KeyValue() = default;
   /// Reads one key; `entries` is empty if it is absent.
-  virtual void Get(const std::string& key, Callback on_answer) = 0;
+  virtual void Get(const std::string& key, Callback on_reply) = 0;
   /// Reads all keys that start with `prefix`.
-  virtual void GetPrefix(const std::string& prefix, Callback on_answer) = 0;
+  virtual void GetPrefix(const std::string& prefix, Callback on_reply) = 0;
   /// Writes if the revision of the key equals `expected_revision` (0: absent).
   virtual void PutIf(const std::string& key, std::int64_t expected_revision,
-                     const std::string& value, Callback on_answer) = 0;
+                     const std::string& value, Callback on_reply) = 0;
 };
 
 /// Runs a task on the thread of the callbacks.
--- a/src/clients/model_stream.h
+++ b/src/clients/model_stream.h
@@ -1,7 +1,7 @@
 // Parses the chat-completion stream of one attempt of a model call.
 //
 // Invalid chunks fail the attempt. A resumed attempt must either report the position at which it
-// continues or repeat the earlier text; an engine that reports the right position but continues
+// continues or repeat the earlier text; an engine that reports the valid position but continues
 // elsewhere is not detected.
 #pragma once
 
@@ -29,28 +29,28 @@
   /// Parses more of a 2xx response's body. Data after the end or a failure is ignored.
   void Feed(std::string_view bytes) { parser_.Feed(bytes); }
   /// @return true if `[DONE]` was received and no failure was detected.
-  bool finished() const { return finished_ && fault_.empty(); }
+  bool finished() const { return finished_ && failure_.empty(); }
   /// @return why the stream is invalid, or an empty string. No text is passed on after a failure.
-  const std::string& fault() const { return fault_; }
+  const std::string& failure() const { return failure_; }
   const ModelUsage& usage() const { return usage_; }
 
  private:
   using Json = nlohmann::json;
 
-  void TakeEvent(const std::string& event, const std::string& data);
-  void TakeChunk(const Json& chunk);
-  void TakePlace(const Json& chunk);
-  void TakeChoice(const Json& choice);
-  void TakeText(std::string text);
+  void HandleEvent(const std::string& event, const std::string& data);
+  void HandleChunk(const Json& chunk);
+  void HandleResumePosition(const Json& chunk);
+  void HandleChoice(const Json& choice);
+  void HandleText(std::string text);
 
   std::string resume_text_;
   TextCallback on_text_;
   SseParser parser_;
   /// Bytes of `resume_text_` that this attempt has skipped or repeated.
-  std::size_t accounted_ = 0;
-  bool text_came_ = false;
+  std::size_t matched_bytes_ = 0;
+  bool text_received_ = false;
   bool finished_ = false;
-  std::string fault_;
+  std::string failure_;
   ModelUsage usage_;
 };
 
--- a/src/clients/sse.cc
+++ b/src/clients/sse.cc
@@ -14,12 +14,12 @@
       line.pop_back();
     }
     start = end + 1;
-    TakeLine(line);
+    HandleLine(line);
   }
   buffer_.erase(0, start);
 }
 
-void SseParser::TakeLine(const std::string& line) {
+void SseParser::HandleLine(const std::string& line) {
   if (line.empty()) {
     if (!data_.empty()) {
       on_event_(event_, data_);
--- a/src/clients/sse.h
+++ b/src/clients/sse.h
@@ -16,7 +16,7 @@
   void Feed(std::string_view bytes);
 
  private:
-  void TakeLine(const std::string& line);
+  void HandleLine(const std::string& line);
 
   EventCallback on_event_;
   std::string buffer_;
--- a/src/daemon/backend_view.cc
+++ b/src/daemon/backend_view.cc
@@ -71,7 +71,7 @@
 
 bool BackendView::IsLeaving(absl::Time now, const clients::Backend& backend) const {
   auto found = leaving_until_.find(backend.name);
-  return backend.leaving || (found != leaving_until_.end() && now < found->second);
+  return backend.draining || (found != leaving_until_.end() && now < found->second);
 }
 
 std::vector<gateway::EngineCandidate> BackendView::EnginesFor(
@@ -115,7 +115,7 @@
   std::vector<clients::Backend> found;
   for (const auto& [name, backend] : machines_) {
     bool usable = backend.kind == kind && backend.service == service && backend.owner == partner &&
-                  !backend.leaving;
+                  !backend.draining;
     if (usable) {
       found.push_back(backend);
     }
@@ -147,7 +147,7 @@
     config.name = name;
     config.owner = backend.owner;
     config.slots = backend.slots;
-    config.draining = backend.leaving;
+    config.draining = backend.draining;
     if (const bundle::LendSpec* lending = LendingOf(bundles, backend.owner)) {
       config.lends = lending->idle_engines;
       config.lend_share = lending->max_share;
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -370,7 +370,7 @@
   if (!directory_.empty()) {
     return;
   }
-  environment_.KeyValueService().Get(kDirectoryKey, [this](const clients::KeyValueAnswer& answer) {
+  environment_.KeyValueService().Get(kDirectoryKey, [this](const clients::KeyValueReply& answer) {
     if (answer.status != clients::KeyValueStatus::kDone || !directory_.empty()) {
       return;
     }
@@ -387,7 +387,7 @@
     }
     // Whoever writes first decides; every daemon then reads what is there.
     environment_.KeyValueService().PutIf(kDirectoryKey, 0, wire::Encode(placed),
-                                         [](const clients::KeyValueAnswer&) {});
+                                         [](const clients::KeyValueReply&) {});
   });
 }
 
@@ -591,7 +591,7 @@
     }
     environment_.Backends().ListContexts(
         backend.url,
-        [this, engine = backend](std::optional<std::vector<clients::HeldContext>> contexts) {
+        [this, engine = backend](std::optional<std::vector<clients::CachedContext>> contexts) {
           if (contexts) {
             SweepEngine(engine, *contexts);
           }
@@ -600,9 +600,9 @@
 }
 
 void Node::SweepEngine(const clients::Backend& engine,
-                       const std::vector<clients::HeldContext>& contexts) {
+                       const std::vector<clients::CachedContext>& contexts) {
   std::map<GroupId, ledger::CheckPrograms> by_group;
-  for (const clients::HeldContext& context : contexts) {
+  for (const clients::CachedContext& context : contexts) {
     ProgramId program(context.id);
     by_group[GroupOf(program)].programs.push_back(program);
   }
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -157,7 +157,7 @@
   void SendReleases();
   void SweepContexts();
   void SweepEngine(const clients::Backend& engine,
-                   const std::vector<clients::HeldContext>& contexts);
+                   const std::vector<clients::CachedContext>& contexts);
   void RefreshEngines();
   void HandOverLeaderships();
   /// @return the voter to hand the group to: the one whose log reaches furthest, and another than
--- a/src/daemon/status.cc
+++ b/src/daemon/status.cc
@@ -64,7 +64,7 @@
     engines.push_back({{"name", name.value},
                        {"service", backend.service},
                        {"zone", backend.zone.value},
-                       {"leaving", backend.leaving}});
+                       {"leaving", backend.draining}});
   }
   json status = {{"node", std::to_string(node.Self().value)},
                  {"zone", node.membership().self().zone.value},
--- a/src/gateway/call_coordinator.cc
+++ b/src/gateway/call_coordinator.cc
@@ -357,7 +357,7 @@
   }
   call->handle = 0;
   using Status = clients::ModelOutcome::Status;
-  ReleaseEngine(*call, outcome.status == Status::kLeaving);
+  ReleaseEngine(*call, outcome.status == Status::kDraining);
   call->may_have_run = call->may_have_run || outcome.status == Status::kBroken;
   switch (outcome.status) {
     case Status::kFinished:
@@ -375,7 +375,7 @@
       call->reason = "the engine rejected the request: " + outcome.detail;
       Commit(*call, OutcomeIfAbandoned(*call), "");
       break;
-    case Status::kLeaving:
+    case Status::kDraining:
     case Status::kRefused:
     case Status::kBroken:
       Redispatch(*call, "the engine failed or refused: " + outcome.detail);
--- a/src/sim/sim_platform.cc
+++ b/src/sim/sim_platform.cc
@@ -21,7 +21,7 @@
 
 void SimPlatform::MarkLeaving(const BackendName& name) {
   leaving_[name] = queue_.now();
-  queue_.After(list_lag, [this, name] { backends_[name].leaving = true; });
+  queue_.After(list_lag, [this, name] { backends_[name].draining = true; });
 }
 
 // ---- Key-value service ----
@@ -33,7 +33,7 @@
 
   void Get(const std::string& key, Callback on_answer) override {
     Run(std::move(on_answer), [this, key] {
-      clients::KeyValueAnswer answer{clients::KeyValueStatus::kDone, {}};
+      clients::KeyValueReply answer{clients::KeyValueStatus::kDone, {}};
       auto found = platform_.entries_.find(key);
       if (found != platform_.entries_.end()) {
         answer.entries.push_back(found->second);
@@ -44,7 +44,7 @@
 
   void GetPrefix(const std::string& prefix, Callback on_answer) override {
     Run(std::move(on_answer), [this, prefix] {
-      clients::KeyValueAnswer answer{clients::KeyValueStatus::kDone, {}};
+      clients::KeyValueReply answer{clients::KeyValueStatus::kDone, {}};
       for (const auto& [key, entry] : platform_.entries_) {
         if (key.compare(0, prefix.size(), prefix) == 0) {
           answer.entries.push_back(entry);
@@ -57,7 +57,7 @@
   void PutIf(const std::string& key, std::int64_t expected_revision, const std::string& value,
              Callback on_answer) override {
     Run(std::move(on_answer), [this, key, expected_revision, value] {
-      clients::KeyValueAnswer answer;
+      clients::KeyValueReply answer;
       auto found = platform_.entries_.find(key);
       std::int64_t revision = found == platform_.entries_.end() ? 0 : found->second.revision;
       if (revision != expected_revision) {
@@ -74,7 +74,7 @@
   }
 
  private:
-  void Run(Callback on_answer, std::function<clients::KeyValueAnswer()> effect) {
+  void Run(Callback on_answer, std::function<clients::KeyValueReply()> effect) {
     ++platform_.key_value_requests;
     const PlatformFaults& faults = platform_.key_value_faults;
     if (faults.down) {
@@ -85,7 +85,7 @@
     platform_.queue_.After(
         kKeyValueDelay + faults.extra_delay,
         [this, lost, on_answer = std::move(on_answer), effect = std::move(effect)] {
-          clients::KeyValueAnswer answer = effect();
+          clients::KeyValueReply answer = effect();
           if (lost) {
             Answer(kAnswerLost, on_answer, {clients::KeyValueStatus::kUncertain, {}});
           } else {
@@ -94,7 +94,7 @@
         });
   }
 
-  void Answer(absl::Duration delay, Callback on_answer, clients::KeyValueAnswer answer) {
+  void Answer(absl::Duration delay, Callback on_answer, clients::KeyValueReply answer) {
     platform_.queue_.After(
         delay, [deliver = deliver_, on_answer = std::move(on_answer), answer = std::move(answer)] {
           deliver([on_answer, answer] { on_answer(answer); });
@@ -136,7 +136,7 @@
       return handle;
     }
     if (platform_.IsLeaving(engine) && platform_.engines_refuse_when_leaving) {
-      outcome.status = clients::ModelOutcome::Status::kLeaving;
+      outcome.status = clients::ModelOutcome::Status::kDraining;
       Finish(handle, kServiceTime, on_done, outcome);
       return handle;
     }
@@ -204,8 +204,8 @@
 
   void ListContexts(
       const std::string& engine_url,
-      std::function<void(std::optional<std::vector<clients::HeldContext>>)> on_list) override {
-    std::vector<clients::HeldContext> held;
+      std::function<void(std::optional<std::vector<clients::CachedContext>>)> on_list) override {
+    std::vector<clients::CachedContext> held;
     for (const std::string& id : platform_.contexts[BackendName(engine_url)]) {
       held.push_back({id, 0});
     }
--- a/tests/clients/http_backends_test.cc
+++ b/tests/clients/http_backends_test.cc
@@ -190,7 +190,7 @@
           {"BodyOfAFailure", Text("ab") + kDone, Status::kBroken, "", 500},
           {"BodyOfARefusal", Text("ab") + kDone, Status::kRefused, "", 503},
           {"BodyOfARejection", Text("ab") + kDone, Status::kRejected, "", 400},
-          {"Leaving", R"({"error":{"code":"leaving"}})", Status::kLeaving, "", 503},
+          {"Leaving", R"({"error":{"code":"leaving"}})", Status::kDraining, "", 503},
       });
 }
 
--- a/tests/clients/key_value_test.cc
+++ b/tests/clients/key_value_test.cc
@@ -25,7 +25,7 @@
   virtual ~Subject() = default;
   virtual KeyValue& store() = 0;
   /// Starts a request and waits for its reply.
-  virtual KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) = 0;
+  virtual KeyValueReply Await(const std::function<void(KeyValue::Callback)>& start) = 0;
   virtual void LoseNextAnswer() = 0;
 };
 
@@ -36,15 +36,15 @@
     store_ = CreateEtcdKeyValue(*client_, emulator_->url(), [](auto task) { task(); });
   }
   KeyValue& store() override { return *store_; }
-  KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) override {
-    auto answer = std::make_shared<KeyValueAnswer>();
+  KeyValueReply Await(const std::function<void(KeyValue::Callback)>& start) override {
+    auto reply = std::make_shared<KeyValueReply>();
     auto done = std::make_shared<absl::Notification>();
-    start([answer, done](KeyValueAnswer told) {
-      *answer = std::move(told);
+    start([reply, done](KeyValueReply received) {
+      *reply = std::move(received);
       done->Notify();
     });
     done->WaitForNotification();
-    return *answer;
+    return *reply;
   }
   void LoseNextAnswer() override {
     http::ClientRequest request;
@@ -63,14 +63,14 @@
 class SimSubject : public Subject {
  public:
   KeyValue& store() override { return *store_; }
-  KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) override {
-    std::optional<KeyValueAnswer> answer;
-    start([&](KeyValueAnswer told) { answer = std::move(told); });
-    while (!answer) {
+  KeyValueReply Await(const std::function<void(KeyValue::Callback)>& start) override {
+    std::optional<KeyValueReply> reply;
+    start([&](KeyValueReply received) { reply = std::move(received); });
+    while (!reply) {
       queue_.RunUntil(queue_.now() + absl::Seconds(1));
     }
     platform_.key_value_faults = {};
-    return *answer;
+    return *reply;
   }
   void LoseNextAnswer() override { platform_.key_value_faults.lost_answer = 1.0; }
 
@@ -89,12 +89,12 @@
       subject_ = std::make_unique<SimSubject>();
     }
   }
-  KeyValueAnswer PutIf(const std::string& key, std::int64_t revision, const std::string& value) {
+  KeyValueReply PutIf(const std::string& key, std::int64_t revision, const std::string& value) {
     return subject_->Await([&](KeyValue::Callback done) {
       subject_->store().PutIf(key, revision, value, std::move(done));
     });
   }
-  KeyValueAnswer Get(const std::string& key) {
+  KeyValueReply Get(const std::string& key) {
     return subject_->Await(
         [&](KeyValue::Callback done) { subject_->store().Get(key, std::move(done)); });
   }
@@ -102,14 +102,14 @@
 };
 
 TEST_P(KeyValueContract, AbsentKeyHasNoEntry) {
-  KeyValueAnswer answer = Get("none");
-  EXPECT_EQ(answer.status, KeyValueStatus::kDone);
-  EXPECT_TRUE(answer.entries.empty());
+  KeyValueReply reply = Get("none");
+  EXPECT_EQ(reply.status, KeyValueStatus::kDone);
+  EXPECT_TRUE(reply.entries.empty());
 }
 
 TEST_P(KeyValueContract, WriteTakesEffectOnlyAtTheExpectedRevision) {
   ASSERT_EQ(PutIf("k", 0, "one").status, KeyValueStatus::kDone);
-  KeyValueAnswer again = PutIf("k", 0, "two");
+  KeyValueReply again = PutIf("k", 0, "two");
   EXPECT_EQ(again.status, KeyValueStatus::kConditionFailed);
   ASSERT_EQ(again.entries.size(), 1U);
   EXPECT_EQ(again.entries[0].value, "one");
@@ -127,10 +127,10 @@
   for (const char* key : {"a/1", "a/2", "a0", "b/1"}) {
     PutIf(key, 0, "v");
   }
-  KeyValueAnswer answer = subject_->Await(
+  KeyValueReply reply = subject_->Await(
       [&](KeyValue::Callback done) { subject_->store().GetPrefix("a/", std::move(done)); });
-  ASSERT_EQ(answer.entries.size(), 2U);
-  EXPECT_EQ(answer.entries[1].key, "a/2");
+  ASSERT_EQ(reply.entries.size(), 2U);
+  EXPECT_EQ(reply.entries[1].key, "a/2");
 }
 
 TEST_P(KeyValueContract, LostAnswerIsUncertainThoughTheWriteTookEffect) {
@@ -142,18 +142,18 @@
 INSTANTIATE_TEST_SUITE_P(Implementations, KeyValueContract, ::testing::Values(true, false),
                          [](const auto& info) { return info.param ? "Etcd" : "Simulated"; });
 
-KeyValueAnswer AwaitEtcd(const std::function<void(KeyValue::Callback)>& start) {
-  KeyValueAnswer answer;
+KeyValueReply AwaitEtcd(const std::function<void(KeyValue::Callback)>& start) {
+  KeyValueReply reply;
   absl::Notification done;
-  start([&](KeyValueAnswer told) {
-    answer = std::move(told);
+  start([&](KeyValueReply received) {
+    reply = std::move(received);
     done.Notify();
   });
   done.WaitForNotification();
-  return answer;
+  return reply;
 }
 
-KeyValueAnswer EtcdGet(const testing::ScriptedServer& server) {
+KeyValueReply EtcdGet(const testing::ScriptedServer& server) {
   std::unique_ptr<http::Client> client = http::Client::Create();
   auto store = CreateEtcdKeyValue(*client, server.url(), [](auto task) { task(); });
   return AwaitEtcd([&](KeyValue::Callback done) { store->Get("k", std::move(done)); });
@@ -184,7 +184,7 @@
   }
   testing::ScriptedServer server(
       {testing::Framed(200, R"({"kvs":[{"key":"aw==","mod_revision":"3"}]})")});
-  KeyValueAnswer empty = EtcdGet(server);
+  KeyValueReply empty = EtcdGet(server);
   ASSERT_EQ(empty.status, KeyValueStatus::kDone) << "the service leaves empty values out";
   EXPECT_EQ(empty.entries.at(0).value, "");
 }
--- a/tests/gateway/call_coordinator_test.cc
+++ b/tests/gateway/call_coordinator_test.cc
@@ -45,7 +45,7 @@
   void ReleaseContext(const std::string&, const std::string&, std::function<void(bool)>) override {}
   void ListContexts(
       const std::string&,
-      std::function<void(std::optional<std::vector<clients::HeldContext>>)>) override {}
+      std::function<void(std::optional<std::vector<clients::CachedContext>>)>) override {}
 
   std::vector<Run> runs;
 };
