--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -168,7 +168,7 @@
 
  private:
   void Run() {
-    while (TakeRequests()) {
+    while (ProcessPending()) {
       int running = 0;
       curl_multi_perform(multi_, &running);
       FinishTransfers();
@@ -181,7 +181,7 @@
   }
 
   /// Processes requests of other threads. @return false when the client stops.
-  bool TakeRequests() {
+  bool ProcessPending() {
     std::deque<std::unique_ptr<Transfer>> starting;
     std::deque<TransferId> cancelling;
     {
@@ -208,8 +208,8 @@
   }
 
   void FinishTransfers() {
-    int left = 0;
-    while (CURLMsg* message = curl_multi_info_read(multi_, &left)) {
+    int remaining = 0;
+    while (CURLMsg* message = curl_multi_info_read(multi_, &remaining)) {
       if (message->msg != CURLMSG_DONE) {
         continue;
       }
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -74,7 +74,7 @@
     if (state_ != State::kWaiting && state_ != State::kStreaming) {
       return;
     }
-    state_ = State::kCut;
+    state_ = State::kAborted;
     ResumeLocked();
   }
 
@@ -128,7 +128,7 @@
       if (!complete || state_ == State::kWaiting || state_ == State::kStreaming) {
         callback = std::move(on_disconnect_);
       }
-      state_ = State::kGone;
+      state_ = State::kDetached;
     }
     if (callback) {
       callback();
@@ -151,7 +151,7 @@
   bool handled = false;
 
  private:
-  enum class State { kWaiting, kComplete, kStreaming, kStreamEnded, kCut, kGone };
+  enum class State { kWaiting, kComplete, kStreaming, kStreamEnded, kAborted, kDetached };
 
   void ResumeLocked() {
     if (suspended_ && connection_ != nullptr) {
@@ -175,8 +175,8 @@
       self.suspended_ = true;
       return 0;
     }
-    return self.state_ == State::kCut ? MHD_CONTENT_READER_END_WITH_ERROR
-                                      : MHD_CONTENT_READER_END_OF_STREAM;
+    return self.state_ == State::kAborted ? MHD_CONTENT_READER_END_WITH_ERROR
+                                          : MHD_CONTENT_READER_END_OF_STREAM;
   }
 
   static void FreeStreamReference(void* reference) {
--- a/tests/clients/http_backends_test.cc
+++ b/tests/clients/http_backends_test.cc
@@ -94,7 +94,7 @@
     std::optional<ModelOutcome> outcome;
     backends_->StartModel(
         Model(resume_text), [text](const std::string& piece) { *text += piece; },
-        [&outcome](ModelOutcome told) { outcome = std::move(told); });
+        [&outcome](ModelOutcome received) { outcome = std::move(received); });
     tasks_.RunUntil([&] { return outcome.has_value(); });
     tasks_.RunAll();
     return *outcome;
@@ -107,7 +107,7 @@
     request.arguments = "{}";
     std::optional<ServiceOutcome> outcome;
     backends_->StartService(request,
-                            [&outcome](ServiceOutcome told) { outcome = std::move(told); });
+                            [&outcome](ServiceOutcome received) { outcome = std::move(received); });
     tasks_.RunUntil([&] { return outcome.has_value(); });
     return *outcome;
   }
@@ -153,48 +153,50 @@
     ModelOutcome outcome = backends.RunModel(resume_text, &text);
     EXPECT_EQ(outcome.status, test.status) << outcome.detail;
     EXPECT_EQ(text, test.text);
-    bool told = outcome.status == Status::kFinished || !outcome.detail.empty();
-    EXPECT_TRUE(told) << "a failure has no detail";
+    bool has_detail = outcome.status == Status::kFinished || !outcome.detail.empty();
+    EXPECT_TRUE(has_detail) << "a failure has no detail";
   }
 }
 
-TEST(HttpBackendsTest, OnlyAStreamThatWasReadWholeIsAnAnswer) {
+TEST(HttpBackendsTest, OnlyACompleteValidStreamFinishes) {
   Check(
       "",
       {
-          {"Whole", Text("ab") + Text("cd") + Usage(2) + kDone, Status::kFinished, "abcd"},
+          {"Complete", Text("ab") + Text("cd") + Usage(2) + kDone, Status::kFinished, "abcd"},
           {"UsageOfNothing", Text("ab") + Data(R"({"choices":[],"usage":null})") + kDone,
            Status::kFinished, "ab"},
           {"NoDone", Text("ab") + Usage(2), Status::kBroken, "ab"},
           {"EndsInsideDone", Text("ab") + "data: [DONE]\n", Status::kBroken, "ab"},
           {"EndsInsideAChunk", Text("ab") + "data: {\"choices\":", Status::kBroken, "ab"},
-          {"ChunkCutShort", Text("ab") + Data("{\"choices\":[{") + Text("ef") + kDone,
+          {"ChunkTruncated", Text("ab") + Data("{\"choices\":[{") + Text("ef") + kDone,
            Status::kBroken, "ab"},
-          {"ChunkIsNoObject", Text("ab") + Data("7") + Text("ef") + kDone, Status::kBroken, "ab"},
-          {"ChoicesAreNoList", Text("ab") + Data(R"({"choices":{"a":1}})") + kDone, Status::kBroken,
+          {"ChunkIsNotAnObject", Text("ab") + Data("7") + Text("ef") + kDone, Status::kBroken,
            "ab"},
-          {"ChoiceIsNoObject", Text("ab") + Data(R"({"choices":["cd"]})") + kDone, Status::kBroken,
-           "ab"},
-          {"ContentIsNoText", Text("ab") + Data(R"({"choices":[{"delta":{"content":7}}]})") + kDone,
+          {"ChoicesAreNotAnArray", Text("ab") + Data(R"({"choices":{"a":1}})") + kDone,
+           Status::kBroken, "ab"},
+          {"ChoiceIsNotAnObject", Text("ab") + Data(R"({"choices":["cd"]})") + kDone,
            Status::kBroken, "ab"},
-          {"UsageIsNoNumber", Text("ab") + Data(R"({"usage":{"completion_tokens":"2"}})") + kDone,
+          {"ContentIsNotAString",
+           Text("ab") + Data(R"({"choices":[{"delta":{"content":7}}]})") + kDone, Status::kBroken,
+           "ab"},
+          {"UsageIsNotANumber", Text("ab") + Data(R"({"usage":{"completion_tokens":"2"}})") + kDone,
            Status::kBroken, "ab"},
           {"AnotherChoice",
            Text("ab") + Data(R"({"choices":[{"index":1,"delta":{"content":"XX"}}]})") + kDone,
            Status::kBroken, "ab"},
-          {"EngineTellsAnError", Text("ab") + Data(R"({"error":{"message":"no memory"}})") + kDone,
+          {"EngineReportsError", Text("ab") + Data(R"({"error":{"message":"no memory"}})") + kDone,
            Status::kBroken, "ab"},
           {"ErrorEvent", Text("ab") + "event: error\n" + Data("{}") + kDone, Status::kBroken, "ab"},
-          {"TextBehindDone", Text("ab") + kDone + Text("cd"), Status::kFinished, "ab"},
-          {"JunkBehindDone", Text("ab") + kDone + Data("{"), Status::kFinished, "ab"},
+          {"TextAfterDone", Text("ab") + kDone + Text("cd"), Status::kFinished, "ab"},
+          {"InvalidDataAfterDone", Text("ab") + kDone + Data("{"), Status::kFinished, "ab"},
           {"BodyOfAFailure", Text("ab") + kDone, Status::kBroken, "", 500},
           {"BodyOfARefusal", Text("ab") + kDone, Status::kRefused, "", 503},
           {"BodyOfARejection", Text("ab") + kDone, Status::kRejected, "", 400},
-          {"Leaving", R"({"error":{"code":"leaving"}})", Status::kDraining, "", 503},
+          {"Draining", R"({"error":{"code":"leaving"}})", Status::kDraining, "", 503},
       });
 }
 
-TEST(HttpBackendsTest, ChunkWithoutTextIsNoFault) {
+TEST(HttpBackendsTest, ChunkWithoutTextIsValid) {
   Check("", {
                 {"RoleFirst",
                  Data(R"({"choices":[{"index":0,"delta":{"role":"assistant","content":null}}]})") +
@@ -208,27 +210,28 @@
             });
 }
 
-TEST(HttpBackendsTest, ResumedRunIsJoinedOnlyWhereItsPlaceIsProven) {
-  Check("abcd",
-        {
-            {"SaysThatItGoesOn", ResumedAt(4) + Text("ef") + kDone, Status::kFinished, "ef"},
-            {"NothingWasLeft", ResumedAt(4) + kDone, Status::kFinished, ""},
-            {"BeginsAnewAlike", Text("abc") + Text("def") + kDone, Status::kFinished, "ef"},
-            {"BeginsAnewAlikeByteByByte",
-             Text("a") + Text("b") + Text("c") + Text("d") + Text("e") + kDone, Status::kFinished,
-             "e"},
-            {"BeginsAnewInOtherWords", Text("abX") + Text("Yef") + kDone, Status::kBroken, ""},
-            {"BeginsAnewAndEndsSooner", Text("abc") + kDone, Status::kBroken, ""},
-            {"GoesOnWithoutSayingSo", Text("ef") + kDone, Status::kBroken, ""},
-            {"GoesOnSomewhereElse", ResumedAt(2) + Text("cdef") + kDone, Status::kBroken, ""},
-            {"PlaceIsNoNumber", Data(R"({"resumed_bytes":"4"})") + Text("ef") + kDone,
-             Status::kBroken, ""},
-            {"SaysItTooLate", Text("abcdef") + ResumedAt(4) + kDone, Status::kBroken, "ef"},
-        });
-  Check("", {{"ResumedThoughNotAsked", ResumedAt(4) + Text("ef") + kDone, Status::kBroken, ""}});
+TEST(HttpBackendsTest, ResumedStreamIsAcceptedOnlyAtTheResumePosition) {
+  Check(
+      "abcd",
+      {
+          {"ReportsPosition", ResumedAt(4) + Text("ef") + kDone, Status::kFinished, "ef"},
+          {"NothingRemains", ResumedAt(4) + kDone, Status::kFinished, ""},
+          {"RepeatsText", Text("abc") + Text("def") + kDone, Status::kFinished, "ef"},
+          {"RepeatsTextByteByByte",
+           Text("a") + Text("b") + Text("c") + Text("d") + Text("e") + kDone, Status::kFinished,
+           "e"},
+          {"StartsOverWithDifferentText", Text("abX") + Text("Yef") + kDone, Status::kBroken, ""},
+          {"StartsOverAndEndsEarly", Text("abc") + kDone, Status::kBroken, ""},
+          {"ContinuesWithoutPosition", Text("ef") + kDone, Status::kBroken, ""},
+          {"WrongPosition", ResumedAt(2) + Text("cdef") + kDone, Status::kBroken, ""},
+          {"PositionIsNotANumber", Data(R"({"resumed_bytes":"4"})") + Text("ef") + kDone,
+           Status::kBroken, ""},
+          {"ReportsPositionTooLate", Text("abcdef") + ResumedAt(4) + kDone, Status::kBroken, "ef"},
+      });
+  Check("", {{"ResumedWithoutRequest", ResumedAt(4) + Text("ef") + kDone, Status::kBroken, ""}});
 }
 
-TEST(HttpBackendsTest, RequestIsSentOnceThoughAKeptConnectionCloses) {
+TEST(HttpBackendsTest, RequestIsNotRetriedWhenReusedConnectionCloses) {
   HttpBackends backends({Framed(200, R"({"run":1})"), {"", true}, Framed(200, R"({"run":3})")});
   EXPECT_EQ(backends.RunService().status, ServiceOutcome::Status::kRan);
   ServiceOutcome second = backends.RunService();
@@ -237,7 +240,7 @@
 }
 
 /// Guards against accepting a truncated number in a response without framing as a complete result.
-TEST(HttpBackendsTest, ResultIsWholeOnlyIfSomethingTellsItsEnd) {
+TEST(HttpBackendsTest, UnframedResultMustBeSelfDelimitingJson) {
   struct Case {
     const char* name;
     ScriptedReply reply;
@@ -250,13 +253,13 @@
            Case{"ChunkedNumber",
                 {"HTTP/1.1 200 Status\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n12\r\n0\r\n\r\n"},
                 Outcome::kRan},
-           Case{"FramedCutShort",
+           Case{"FramedTruncated",
                 {"HTTP/1.1 200 Status\r\nContent-Length: 3\r\n\r\n12", true},
                 Outcome::kUnknown},
            Case{"Unframed", Unframed(200, R"({"a":1})"), Outcome::kRan},
            Case{"UnframedList", Unframed(200, "[1]"), Outcome::kRan},
            Case{"UnframedText", Unframed(200, R"("a")"), Outcome::kRan},
-           Case{"UnframedCutShort", Unframed(200, R"({"a":1)"), Outcome::kUnknown},
+           Case{"UnframedTruncated", Unframed(200, R"({"a":1)"), Outcome::kUnknown},
            Case{"UnframedNumber", Unframed(200, "12"), Outcome::kUnknown},
            Case{"UnframedFraction", Unframed(200, "-1.5"), Outcome::kUnknown},
            Case{"NoBody", Framed(200, ""), Outcome::kUnknown},
@@ -271,7 +274,7 @@
   }
 }
 
-TEST(HttpBackendsTest, CancelledTransferLeavesNothingToTheNext) {
+TEST(HttpBackendsTest, CancelledTransferDoesNotAffectTheNext) {
   std::string head = "HTTP/1.1 200 Status\r\nTransfer-Encoding: chunked\r\n\r\n";
   std::string chunk = Text("old");
   std::string first = absl::StrCat(head, absl::Hex(chunk.size()), "\r\n", chunk, "\r\n");
--- a/tests/clients/key_value_test.cc
+++ b/tests/clients/key_value_test.cc
@@ -161,7 +161,7 @@
 
 /// Guards against libcurl retrying a conditional write on a reused connection, which then fails its
 /// own condition.
-TEST(EtcdKeyValueTest, ConditionalWriteIsSentOnceThoughAKeptConnectionCloses) {
+TEST(EtcdKeyValueTest, ConditionalWriteIsNotRetriedWhenReusedConnectionCloses) {
   testing::ScriptedServer server(
       {testing::Framed(200, "{}"), {"", true}, testing::Framed(200, R"({"succeeded":false})")});
   std::unique_ptr<http::Client> client = http::Client::Create();
@@ -175,7 +175,7 @@
 }
 
 /// Guards against decoding invalid Base64 as an empty key or value.
-TEST(EtcdKeyValueTest, EntryThatCannotBeReadIsNoAnswer) {
+TEST(EtcdKeyValueTest, InvalidEntryIsUncertain) {
   for (const char* entry : {R"({"key":"aw==","value":"!!"})", R"({"key":"!!","value":"dg=="})",
                             R"({"key":7,"value":"dg=="})"}) {
     SCOPED_TRACE(entry);
@@ -185,7 +185,7 @@
   testing::ScriptedServer server(
       {testing::Framed(200, R"({"kvs":[{"key":"aw==","mod_revision":"3"}]})")});
   KeyValueReply empty = EtcdGet(server);
-  ASSERT_EQ(empty.status, KeyValueStatus::kDone) << "the service leaves empty values out";
+  ASSERT_EQ(empty.status, KeyValueStatus::kDone) << "the service omits empty values";
   EXPECT_EQ(empty.entries.at(0).value, "");
 }
 
@@ -201,7 +201,7 @@
   emulator::KeyValueStore store_{2.0};
 };
 
-TEST_F(KeyValueStoreTest, KeyGoesWithItsLeaseUnlessThatIsKeptAlive) {
+TEST_F(KeyValueStoreTest, KeyExpiresWithItsLeaseUnlessRenewed) {
   std::string lease = Ask("/lease/grant", {{"TTL", "5"}})["ID"];
   Ask("/kv/put", {{"key", ToBase64("k")}, {"value", ToBase64("v")}, {"lease", lease}});
   now_ += absl::Seconds(4);
@@ -212,7 +212,7 @@
   EXPECT_EQ(CountOf("k"), "0");
 }
 
-TEST_F(KeyValueStoreTest, WatchTellsChangesOfItsRangeOnly) {
+TEST_F(KeyValueStoreTest, WatchReportsOnlyChangesInItsRange) {
   std::vector<std::string> seen;
   store_.Watch({{"key", ToBase64("a")}, {"range_end", ToBase64("b")}},
                [&](const nlohmann::json& event) {
@@ -225,16 +225,14 @@
   EXPECT_EQ(seen, (std::vector<std::string>{"PUT", "DELETE"}));
 }
 
-TEST_F(KeyValueStoreTest, RateLimitRefusesAndRefills) {
+TEST_F(KeyValueStoreTest, RateLimitRejectsAndRefills) {
   EXPECT_TRUE(store_.TakeToken(now_));
   EXPECT_TRUE(store_.TakeToken(now_));
   EXPECT_FALSE(store_.TakeToken(now_));
   EXPECT_TRUE(store_.TakeToken(now_ + absl::Milliseconds(500)));
 }
 
-TEST_F(KeyValueStoreTest, UnknownPathOrOperationIsNoAnswer) {
-  EXPECT_TRUE(Ask("/kv/none", {}).is_null());
-}
+TEST_F(KeyValueStoreTest, UnknownPathReturnsNull) { EXPECT_TRUE(Ask("/kv/none", {}).is_null()); }
 
 }  // namespace
 }  // namespace martenyard::clients
