--- a/tests/clients/http_backends_test.cc
+++ b/tests/clients/http_backends_test.cc
@@ -1,16 +1,5 @@
-// The contract of clients::BackendClient over HTTP: what a back end sent becomes the caller's
-// answer only if one run is proven to have made it, whole and once.
-//
-// Symptoms: the stored turn lacked a piece in the middle, went on behind its own end, or held its
-// beginning twice; the process ended on a chunk without text; a tool that may run once ran twice.
-// Sequences and causes: a chunk that could not be read was passed over in silence, and `[DONE]`
-// then made the rest a whole answer. Text behind `[DONE]`, and the body of a failure, went the same
-// way as the answer's text. An engine that does not know `resume_text` began from the start, and
-// nothing compared its text with what had been passed on. `"content":null` threw through libcurl. A
-// connection that was kept from an earlier transfer closed before any byte of the answer came, and
-// libcurl then sent the request a second time by itself.
-// What settled it: the joined text and the outcome below, and the requests that the server counted:
-// 3 where 2 calls were made.
+// Contract tests of clients::BackendClient over HTTP: guard against lost, repeated or trailing text
+// of a stream, exceptions on null content, and requests retried by libcurl.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -37,7 +26,7 @@
 using testing::Unframed;
 using Status = ModelOutcome::Status;
 
-/// Runs tasks where the test waits, one after the other, as an event loop does.
+/// Runs tasks in order on the waiting test thread, like an event loop.
 class TaskQueue {
  public:
   void Post(std::function<void()> task) {
@@ -50,7 +39,7 @@
       RunOne();
     }
   }
-  /// Returns when a task waits, which it leaves there.
+  /// Waits until a task is queued, without running it.
   void Await() {
     absl::MutexLock lock(&mutex_);
     mutex_.Await(absl::Condition(
@@ -87,7 +76,7 @@
     static const bool quiet = InitLogging("off", LogFormat::kText);
     EXPECT_TRUE(quiet);
   }
-  ~HttpBackends() { http_.reset(); }  // Its thread calls into the others until it is joined.
+  ~HttpBackends() { http_.reset(); }  // Joins the thread that uses the other members.
 
   BackendClient& client() { return *backends_; }
   ScriptedServer& server() { return server_; }
@@ -105,7 +94,7 @@
     std::optional<ModelOutcome> outcome;
     backends_->StartModel(
         Model(resume_text), [text](const std::string& piece) { *text += piece; },
-        [&outcome](ModelOutcome told) { outcome = std::move(told); });
+        [&outcome](ModelOutcome received) { outcome = std::move(received); });
     tasks_.RunUntil([&] { return outcome.has_value(); });
     tasks_.RunAll();
     return *outcome;
@@ -118,7 +107,7 @@
     request.arguments = "{}";
     std::optional<ServiceOutcome> outcome;
     backends_->StartService(request,
-                            [&outcome](ServiceOutcome told) { outcome = std::move(told); });
+                            [&outcome](ServiceOutcome received) { outcome = std::move(received); });
     tasks_.RunUntil([&] { return outcome.has_value(); });
     return *outcome;
   }
@@ -147,12 +136,12 @@
 
 constexpr char kDone[] = "data: [DONE]\n\n";
 
-/// What must become of one run's stream.
+/// The expected outcome of one stream.
 struct StreamCase {
   const char* name;
   std::string body;
   Status status;
-  std::string text;  ///< Passed on, exactly.
+  std::string text;  ///< The exact text passed on.
   int http_status = 200;
 };
 
@@ -164,48 +153,50 @@
     ModelOutcome outcome = backends.RunModel(resume_text, &text);
     EXPECT_EQ(outcome.status, test.status) << outcome.detail;
     EXPECT_EQ(text, test.text);
-    bool told = outcome.status == Status::kFinished || !outcome.detail.empty();
-    EXPECT_TRUE(told) << "a failure has no detail";
+    bool has_detail = outcome.status == Status::kFinished || !outcome.detail.empty();
+    EXPECT_TRUE(has_detail) << "a failure has no detail";
   }
 }
 
-TEST(HttpBackendsTest, OnlyAStreamThatWasReadWholeIsAnAnswer) {
+TEST(HttpBackendsTest, OnlyACompleteValidStreamFinishes) {
   Check(
       "",
       {
-          {"Whole", Text("ab") + Text("cd") + Usage(2) + kDone, Status::kFinished, "abcd"},
+          {"Complete", Text("ab") + Text("cd") + Usage(2) + kDone, Status::kFinished, "abcd"},
           {"UsageOfNothing", Text("ab") + Data(R"({"choices":[],"usage":null})") + kDone,
            Status::kFinished, "ab"},
           {"NoDone", Text("ab") + Usage(2), Status::kBroken, "ab"},
           {"EndsInsideDone", Text("ab") + "data: [DONE]\n", Status::kBroken, "ab"},
           {"EndsInsideAChunk", Text("ab") + "data: {\"choices\":", Status::kBroken, "ab"},
-          {"ChunkCutShort", Text("ab") + Data("{\"choices\":[{") + Text("ef") + kDone,
+          {"ChunkTruncated", Text("ab") + Data("{\"choices\":[{") + Text("ef") + kDone,
            Status::kBroken, "ab"},
-          {"ChunkIsNoObject", Text("ab") + Data("7") + Text("ef") + kDone, Status::kBroken, "ab"},
-          {"ChoicesAreNoList", Text("ab") + Data(R"({"choices":{"a":1}})") + kDone, Status::kBroken,
+          {"ChunkIsNotAnObject", Text("ab") + Data("7") + Text("ef") + kDone, Status::kBroken,
            "ab"},
-          {"ChoiceIsNoObject", Text("ab") + Data(R"({"choices":["cd"]})") + kDone, Status::kBroken,
-           "ab"},
-          {"ContentIsNoText", Text("ab") + Data(R"({"choices":[{"delta":{"content":7}}]})") + kDone,
+          {"ChoicesAreNotAnArray", Text("ab") + Data(R"({"choices":{"a":1}})") + kDone,
+           Status::kBroken, "ab"},
+          {"ChoiceIsNotAnObject", Text("ab") + Data(R"({"choices":["cd"]})") + kDone,
            Status::kBroken, "ab"},
-          {"UsageIsNoNumber", Text("ab") + Data(R"({"usage":{"completion_tokens":"2"}})") + kDone,
+          {"ContentIsNotAString",
+           Text("ab") + Data(R"({"choices":[{"delta":{"content":7}}]})") + kDone, Status::kBroken,
+           "ab"},
+          {"UsageIsNotANumber", Text("ab") + Data(R"({"usage":{"completion_tokens":"2"}})") + kDone,
            Status::kBroken, "ab"},
           {"AnotherChoice",
            Text("ab") + Data(R"({"choices":[{"index":1,"delta":{"content":"XX"}}]})") + kDone,
            Status::kBroken, "ab"},
-          {"EngineTellsAnError", Text("ab") + Data(R"({"error":{"message":"no memory"}})") + kDone,
+          {"EngineReportsError", Text("ab") + Data(R"({"error":{"message":"no memory"}})") + kDone,
            Status::kBroken, "ab"},
           {"ErrorEvent", Text("ab") + "event: error\n" + Data("{}") + kDone, Status::kBroken, "ab"},
-          {"TextBehindDone", Text("ab") + kDone + Text("cd"), Status::kFinished, "ab"},
-          {"JunkBehindDone", Text("ab") + kDone + Data("{"), Status::kFinished, "ab"},
+          {"TextAfterDone", Text("ab") + kDone + Text("cd"), Status::kFinished, "ab"},
+          {"InvalidDataAfterDone", Text("ab") + kDone + Data("{"), Status::kFinished, "ab"},
           {"BodyOfAFailure", Text("ab") + kDone, Status::kBroken, "", 500},
           {"BodyOfARefusal", Text("ab") + kDone, Status::kRefused, "", 503},
           {"BodyOfARejection", Text("ab") + kDone, Status::kRejected, "", 400},
-          {"Leaving", R"({"error":{"code":"leaving"}})", Status::kLeaving, "", 503},
+          {"Draining", R"({"error":{"code":"leaving"}})", Status::kDraining, "", 503},
       });
 }
 
-TEST(HttpBackendsTest, ChunkWithoutTextIsNoFault) {
+TEST(HttpBackendsTest, ChunkWithoutTextIsValid) {
   Check("", {
                 {"RoleFirst",
                  Data(R"({"choices":[{"index":0,"delta":{"role":"assistant","content":null}}]})") +
@@ -219,27 +210,28 @@
             });
 }
 
-TEST(HttpBackendsTest, ResumedRunIsJoinedOnlyWhereItsPlaceIsProven) {
-  Check("abcd",
-        {
-            {"SaysThatItGoesOn", ResumedAt(4) + Text("ef") + kDone, Status::kFinished, "ef"},
-            {"NothingWasLeft", ResumedAt(4) + kDone, Status::kFinished, ""},
-            {"BeginsAnewAlike", Text("abc") + Text("def") + kDone, Status::kFinished, "ef"},
-            {"BeginsAnewAlikeByteByByte",
-             Text("a") + Text("b") + Text("c") + Text("d") + Text("e") + kDone, Status::kFinished,
-             "e"},
-            {"BeginsAnewInOtherWords", Text("abX") + Text("Yef") + kDone, Status::kBroken, ""},
-            {"BeginsAnewAndEndsSooner", Text("abc") + kDone, Status::kBroken, ""},
-            {"GoesOnWithoutSayingSo", Text("ef") + kDone, Status::kBroken, ""},
-            {"GoesOnSomewhereElse", ResumedAt(2) + Text("cdef") + kDone, Status::kBroken, ""},
-            {"PlaceIsNoNumber", Data(R"({"resumed_bytes":"4"})") + Text("ef") + kDone,
-             Status::kBroken, ""},
-            {"SaysItTooLate", Text("abcdef") + ResumedAt(4) + kDone, Status::kBroken, "ef"},
-        });
-  Check("", {{"ResumedThoughNotAsked", ResumedAt(4) + Text("ef") + kDone, Status::kBroken, ""}});
+TEST(HttpBackendsTest, ResumedStreamIsAcceptedOnlyAtTheResumePosition) {
+  Check(
+      "abcd",
+      {
+          {"ReportsPosition", ResumedAt(4) + Text("ef") + kDone, Status::kFinished, "ef"},
+          {"NothingRemains", ResumedAt(4) + kDone, Status::kFinished, ""},
+          {"RepeatsText", Text("abc") + Text("def") + kDone, Status::kFinished, "ef"},
+          {"RepeatsTextByteByByte",
+           Text("a") + Text("b") + Text("c") + Text("d") + Text("e") + kDone, Status::kFinished,
+           "e"},
+          {"StartsOverWithDifferentText", Text("abX") + Text("Yef") + kDone, Status::kBroken, ""},
+          {"StartsOverAndEndsEarly", Text("abc") + kDone, Status::kBroken, ""},
+          {"ContinuesWithoutPosition", Text("ef") + kDone, Status::kBroken, ""},
+          {"WrongPosition", ResumedAt(2) + Text("cdef") + kDone, Status::kBroken, ""},
+          {"PositionIsNotANumber", Data(R"({"resumed_bytes":"4"})") + Text("ef") + kDone,
+           Status::kBroken, ""},
+          {"ReportsPositionTooLate", Text("abcdef") + ResumedAt(4) + kDone, Status::kBroken, "ef"},
+      });
+  Check("", {{"ResumedWithoutRequest", ResumedAt(4) + Text("ef") + kDone, Status::kBroken, ""}});
 }
 
-TEST(HttpBackendsTest, RequestIsSentOnceThoughAKeptConnectionCloses) {
+TEST(HttpBackendsTest, RequestIsNotRetriedWhenReusedConnectionCloses) {
   HttpBackends backends({Framed(200, R"({"run":1})"), {"", true}, Framed(200, R"({"run":3})")});
   EXPECT_EQ(backends.RunService().status, ServiceOutcome::Status::kRan);
   ServiceOutcome second = backends.RunService();
@@ -247,12 +239,8 @@
   EXPECT_EQ(backends.server().requests().size(), 2U);
 }
 
-/// Symptom: a tool's result was cut short and stored as whole.
-/// Sequence: a service that sends no length dies after the first bytes of a number.
-/// Cause: the connection's end was believed to be the answer's; most JSON texts tell their own end,
-/// a number does not.
-/// What settled it: `12` of `123` was told as run.
-TEST(HttpBackendsTest, ResultIsWholeOnlyIfSomethingTellsItsEnd) {
+/// Guards against accepting a truncated number in a response without framing as a complete result.
+TEST(HttpBackendsTest, UnframedResultMustBeSelfDelimitingJson) {
   struct Case {
     const char* name;
     ScriptedReply reply;
@@ -265,13 +253,13 @@
            Case{"ChunkedNumber",
                 {"HTTP/1.1 200 Status\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n12\r\n0\r\n\r\n"},
                 Outcome::kRan},
-           Case{"FramedCutShort",
+           Case{"FramedTruncated",
                 {"HTTP/1.1 200 Status\r\nContent-Length: 3\r\n\r\n12", true},
                 Outcome::kUnknown},
            Case{"Unframed", Unframed(200, R"({"a":1})"), Outcome::kRan},
            Case{"UnframedList", Unframed(200, "[1]"), Outcome::kRan},
            Case{"UnframedText", Unframed(200, R"("a")"), Outcome::kRan},
-           Case{"UnframedCutShort", Unframed(200, R"({"a":1)"), Outcome::kUnknown},
+           Case{"UnframedTruncated", Unframed(200, R"({"a":1)"), Outcome::kUnknown},
            Case{"UnframedNumber", Unframed(200, "12"), Outcome::kUnknown},
            Case{"UnframedFraction", Unframed(200, "-1.5"), Outcome::kUnknown},
            Case{"NoBody", Framed(200, ""), Outcome::kUnknown},
@@ -286,7 +274,7 @@
   }
 }
 
-TEST(HttpBackendsTest, CancelledTransferLeavesNothingToTheNext) {
+TEST(HttpBackendsTest, CancelledTransferDoesNotAffectTheNext) {
   std::string head = "HTTP/1.1 200 Status\r\nTransfer-Encoding: chunked\r\n\r\n";
   std::string chunk = Text("old");
   std::string first = absl::StrCat(head, absl::Hex(chunk.size()), "\r\n", chunk, "\r\n");
@@ -296,7 +284,7 @@
   auto handle = backends.client().StartModel(
       backends.Model(""), [&text](const std::string& piece) { text += piece; },
       [&ended](const ModelOutcome&) { ended = true; });
-  backends.tasks().Await();  // Its text waits for the loop while it is cancelled.
+  backends.tasks().Await();  // The text is queued when the call is cancelled.
   backends.client().Cancel(handle);
   EXPECT_EQ(backends.RunModel("", &text).status, Status::kFinished);
   EXPECT_EQ(text, "new");
--- a/tests/clients/key_value_test.cc
+++ b/tests/clients/key_value_test.cc
@@ -1,5 +1,5 @@
-// The contract of clients::KeyValue, against the etcd client with the emulator and against the
-// simulator's own; and what only the emulator has: leases, watches, the rate limit.
+// Contract tests of clients::KeyValue for the etcd client and the simulator, and tests of the
+// emulator's leases, watches and rate limit.
 #include "clients/key_value.h"
 
 #include <gtest/gtest.h>
@@ -24,8 +24,8 @@
  public:
   virtual ~Subject() = default;
   virtual KeyValue& store() = 0;
-  /// Runs the request that `start` makes and waits for its answer.
-  virtual KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) = 0;
+  /// Starts a request and waits for its reply.
+  virtual KeyValueReply Await(const std::function<void(KeyValue::Callback)>& start) = 0;
   virtual void LoseNextAnswer() = 0;
 };
 
@@ -36,15 +36,15 @@
     store_ = CreateEtcdKeyValue(*client_, emulator_->url(), [](auto task) { task(); });
   }
   KeyValue& store() override { return *store_; }
-  KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) override {
-    auto answer = std::make_shared<KeyValueAnswer>();
+  KeyValueReply Await(const std::function<void(KeyValue::Callback)>& start) override {
+    auto reply = std::make_shared<KeyValueReply>();
     auto done = std::make_shared<absl::Notification>();
-    start([answer, done](KeyValueAnswer told) {
-      *answer = std::move(told);
+    start([reply, done](KeyValueReply received) {
+      *reply = std::move(received);
       done->Notify();
     });
     done->WaitForNotification();
-    return *answer;
+    return *reply;
   }
   void LoseNextAnswer() override {
     http::ClientRequest request;
@@ -63,14 +63,14 @@
 class SimSubject : public Subject {
  public:
   KeyValue& store() override { return *store_; }
-  KeyValueAnswer Await(const std::function<void(KeyValue::Callback)>& start) override {
-    std::optional<KeyValueAnswer> answer;
-    start([&](KeyValueAnswer told) { answer = std::move(told); });
-    while (!answer) {
+  KeyValueReply Await(const std::function<void(KeyValue::Callback)>& start) override {
+    std::optional<KeyValueReply> reply;
+    start([&](KeyValueReply received) { reply = std::move(received); });
+    while (!reply) {
       queue_.RunUntil(queue_.now() + absl::Seconds(1));
     }
     platform_.key_value_faults = {};
-    return *answer;
+    return *reply;
   }
   void LoseNextAnswer() override { platform_.key_value_faults.lost_answer = 1.0; }
 
@@ -89,12 +89,12 @@
       subject_ = std::make_unique<SimSubject>();
     }
   }
-  KeyValueAnswer PutIf(const std::string& key, std::int64_t revision, const std::string& value) {
+  KeyValueReply PutIf(const std::string& key, std::int64_t revision, const std::string& value) {
     return subject_->Await([&](KeyValue::Callback done) {
       subject_->store().PutIf(key, revision, value, std::move(done));
     });
   }
-  KeyValueAnswer Get(const std::string& key) {
+  KeyValueReply Get(const std::string& key) {
     return subject_->Await(
         [&](KeyValue::Callback done) { subject_->store().Get(key, std::move(done)); });
   }
@@ -102,14 +102,14 @@
 };
 
 TEST_P(KeyValueContract, AbsentKeyHasNoEntry) {
-  KeyValueAnswer answer = Get("none");
-  EXPECT_EQ(answer.status, KeyValueStatus::kDone);
-  EXPECT_TRUE(answer.entries.empty());
+  KeyValueReply reply = Get("none");
+  EXPECT_EQ(reply.status, KeyValueStatus::kDone);
+  EXPECT_TRUE(reply.entries.empty());
 }
 
 TEST_P(KeyValueContract, WriteTakesEffectOnlyAtTheExpectedRevision) {
   ASSERT_EQ(PutIf("k", 0, "one").status, KeyValueStatus::kDone);
-  KeyValueAnswer again = PutIf("k", 0, "two");
+  KeyValueReply again = PutIf("k", 0, "two");
   EXPECT_EQ(again.status, KeyValueStatus::kConditionFailed);
   ASSERT_EQ(again.entries.size(), 1U);
   EXPECT_EQ(again.entries[0].value, "one");
@@ -127,10 +127,10 @@
   for (const char* key : {"a/1", "a/2", "a0", "b/1"}) {
     PutIf(key, 0, "v");
   }
-  KeyValueAnswer answer = subject_->Await(
+  KeyValueReply reply = subject_->Await(
       [&](KeyValue::Callback done) { subject_->store().GetPrefix("a/", std::move(done)); });
-  ASSERT_EQ(answer.entries.size(), 2U);
-  EXPECT_EQ(answer.entries[1].key, "a/2");
+  ASSERT_EQ(reply.entries.size(), 2U);
+  EXPECT_EQ(reply.entries[1].key, "a/2");
 }
 
 TEST_P(KeyValueContract, LostAnswerIsUncertainThoughTheWriteTookEffect) {
@@ -142,30 +142,26 @@
 INSTANTIATE_TEST_SUITE_P(Implementations, KeyValueContract, ::testing::Values(true, false),
                          [](const auto& info) { return info.param ? "Etcd" : "Simulated"; });
 
-KeyValueAnswer AwaitEtcd(const std::function<void(KeyValue::Callback)>& start) {
-  KeyValueAnswer answer;
+KeyValueReply AwaitEtcd(const std::function<void(KeyValue::Callback)>& start) {
+  KeyValueReply reply;
   absl::Notification done;
-  start([&](KeyValueAnswer told) {
-    answer = std::move(told);
+  start([&](KeyValueReply received) {
+    reply = std::move(received);
     done.Notify();
   });
   done.WaitForNotification();
-  return answer;
+  return reply;
 }
 
-KeyValueAnswer EtcdGet(const testing::ScriptedServer& server) {
+KeyValueReply EtcdGet(const testing::ScriptedServer& server) {
   std::unique_ptr<http::Client> client = http::Client::Create();
   auto store = CreateEtcdKeyValue(*client, server.url(), [](auto task) { task(); });
   return AwaitEtcd([&](KeyValue::Callback done) { store->Get("k", std::move(done)); });
 }
 
-/// Symptom: a conditional write that took effect was told as lost to another writer.
-/// Sequence: the service does the write on a connection kept from an earlier request and closes it
-/// without an answer; libcurl sends the write again by itself, whose condition no longer holds.
-/// Cause: the client left it to libcurl whether a request may be sent twice.
-/// What settled it: the server counted three requests for one read and one write, and the answer
-/// was `kConditionFailed`.
-TEST(EtcdKeyValueTest, ConditionalWriteIsSentOnceThoughAKeptConnectionCloses) {
+/// Guards against libcurl retrying a conditional write on a reused connection, which then fails its
+/// own condition.
+TEST(EtcdKeyValueTest, ConditionalWriteIsNotRetriedWhenReusedConnectionCloses) {
   testing::ScriptedServer server(
       {testing::Framed(200, "{}"), {"", true}, testing::Framed(200, R"({"succeeded":false})")});
   std::unique_ptr<http::Client> client = http::Client::Create();
@@ -178,11 +174,8 @@
   EXPECT_EQ(server.requests().size(), 2U);
 }
 
-/// Symptom: an entry whose bytes could not be read was taken for one with an empty key and value.
-/// Sequence: an answer of the service, or of what stands before it, holds no Base64 text.
-/// Cause: the failed decoding was turned into an empty text.
-/// What settled it: the answer was `kDone` with one entry, both texts empty.
-TEST(EtcdKeyValueTest, EntryThatCannotBeReadIsNoAnswer) {
+/// Guards against decoding invalid Base64 as an empty key or value.
+TEST(EtcdKeyValueTest, InvalidEntryIsUncertain) {
   for (const char* entry : {R"({"key":"aw==","value":"!!"})", R"({"key":"!!","value":"dg=="})",
                             R"({"key":7,"value":"dg=="})"}) {
     SCOPED_TRACE(entry);
@@ -191,8 +184,8 @@
   }
   testing::ScriptedServer server(
       {testing::Framed(200, R"({"kvs":[{"key":"aw==","mod_revision":"3"}]})")});
-  KeyValueAnswer empty = EtcdGet(server);
-  ASSERT_EQ(empty.status, KeyValueStatus::kDone) << "the service leaves empty values out";
+  KeyValueReply empty = EtcdGet(server);
+  ASSERT_EQ(empty.status, KeyValueStatus::kDone) << "the service omits empty values";
   EXPECT_EQ(empty.entries.at(0).value, "");
 }
 
@@ -208,7 +201,7 @@
   emulator::KeyValueStore store_{2.0};
 };
 
-TEST_F(KeyValueStoreTest, KeyGoesWithItsLeaseUnlessThatIsKeptAlive) {
+TEST_F(KeyValueStoreTest, KeyExpiresWithItsLeaseUnlessRenewed) {
   std::string lease = Ask("/lease/grant", {{"TTL", "5"}})["ID"];
   Ask("/kv/put", {{"key", ToBase64("k")}, {"value", ToBase64("v")}, {"lease", lease}});
   now_ += absl::Seconds(4);
@@ -219,7 +212,7 @@
   EXPECT_EQ(CountOf("k"), "0");
 }
 
-TEST_F(KeyValueStoreTest, WatchTellsChangesOfItsRangeOnly) {
+TEST_F(KeyValueStoreTest, WatchReportsOnlyChangesInItsRange) {
   std::vector<std::string> seen;
   store_.Watch({{"key", ToBase64("a")}, {"range_end", ToBase64("b")}},
                [&](const nlohmann::json& event) {
@@ -232,16 +225,14 @@
   EXPECT_EQ(seen, (std::vector<std::string>{"PUT", "DELETE"}));
 }
 
-TEST_F(KeyValueStoreTest, RateLimitRefusesAndRefills) {
+TEST_F(KeyValueStoreTest, RateLimitRejectsAndRefills) {
   EXPECT_TRUE(store_.TakeToken(now_));
   EXPECT_TRUE(store_.TakeToken(now_));
   EXPECT_FALSE(store_.TakeToken(now_));
   EXPECT_TRUE(store_.TakeToken(now_ + absl::Milliseconds(500)));
 }
 
-TEST_F(KeyValueStoreTest, UnknownPathOrOperationIsNoAnswer) {
-  EXPECT_TRUE(Ask("/kv/none", {}).is_null());
-}
+TEST_F(KeyValueStoreTest, UnknownPathReturnsNull) { EXPECT_TRUE(Ask("/kv/none", {}).is_null()); }
 
 }  // namespace
 }  // namespace martenyard::clients
--- a/tests/discovery/runner_table_test.cc
+++ b/tests/discovery/runner_table_test.cc
@@ -14,86 +14,85 @@
 
 const absl::Time kNow = absl::FromUnixSeconds(1000);
 
-TEST(RunnerTableTest, DrainingAndGoneRunnersLeaveAtTheFirstSign) {
+TEST(RunnerTableTest, LeftAtIsTheTimeOfTheFirstDrainingOrRemoval) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
-  EXPECT_FALSE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_FALSE(table.Find(RunnerId("a"))->IsDraining());
   Runner draining = MakeRunner("a");
   draining.draining = true;
   table.Upsert(kNow + absl::Seconds(1), draining);
-  EXPECT_TRUE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_TRUE(table.Find(RunnerId("a"))->IsDraining());
   table.Remove(kNow + absl::Seconds(3), RunnerId("a"));
-  EXPECT_EQ(table.Find(RunnerId("a"))->left_at, kNow + absl::Seconds(1));
+  EXPECT_EQ(table.Find(RunnerId("a"))->draining_since, kNow + absl::Seconds(1));
 }
 
-// A runner may start again under its id. It knows nothing of before, and what was seen of it before
-// tells nothing of it now.
-TEST(RunnerTableTest, RunnerThatStartedAgainIsKnownAfresh) {
+// Guards against applying the health of a previous process to a runner restarted under the same id.
+TEST(RunnerTableTest, RestartResetsHealth) {
   RunnerTable table;
   Runner runner = MakeRunner("a");
   runner.started = kNow - absl::Hours(1);
   EXPECT_FALSE(table.Upsert(kNow, runner));
   RunnerState* state = table.Find(RunnerId("a"));
   for (int failure = 0; failure < 4; ++failure) {
-    table.Note(kNow, runner.id, RunnerSignal::kFailed);
-    table.NoteOutcome(runner.id, {0, 1});
+    table.RecordSignal(kNow, runner.id, RunnerSignal::kFailed);
+    table.RecordOutcome(runner.id, {0, 1});
   }
-  table.Note(kNow, runner.id, RunnerSignal::kTurnedAway);
-  table.Note(kNow, runner.id, RunnerSignal::kLeaves);
+  table.RecordSignal(kNow, runner.id, RunnerSignal::kRejected);
+  table.RecordSignal(kNow, runner.id, RunnerSignal::kDraining);
   state->own_active = 2;
-  EXPECT_FALSE(table.Upsert(kNow, runner)) << "the same start, told again";
+  EXPECT_FALSE(table.Upsert(kNow, runner)) << "same start time, no restart";
   runner.started = kNow;
   EXPECT_TRUE(table.Upsert(kNow, runner));
   EXPECT_LE(state->avoid_until, kNow);
   EXPECT_LE(state->full_until, kNow);
-  EXPECT_EQ(state->failures_in_a_row, 0);
-  EXPECT_EQ(state->losses.rate(std::chrono::steady_clock::now()), 0);
-  EXPECT_EQ(state->unreported.m_lost, 0U) << "peers would take it for the new one's";
-  EXPECT_FALSE(state->Leaving());
-  EXPECT_EQ(state->own_active, 2U) << "these requests have not ended yet";
+  EXPECT_EQ(state->consecutive_failures, 0);
+  EXPECT_EQ(state->failure_rate.rate(std::chrono::steady_clock::now()), 0);
+  EXPECT_EQ(state->unreported.m_lost, 0U) << "peers would attribute it to the restarted runner";
+  EXPECT_FALSE(state->IsDraining());
+  EXPECT_EQ(state->own_active, 2U) << "these requests are still in flight";
 }
 
-TEST(RunnerTableTest, RunnerThatDoesNotTellItsStartIsTheSame) {
+TEST(RunnerTableTest, MissingStartTimeIsNoRestart) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   EXPECT_FALSE(table.Upsert(kNow, MakeRunner("a")));
-  Runner told = MakeRunner("a");
-  told.started = kNow;
-  EXPECT_FALSE(table.Upsert(kNow, told)) << "nothing is known of an earlier start";
+  Runner reported = MakeRunner("a");
+  reported.started = kNow;
+  EXPECT_FALSE(table.Upsert(kNow, reported)) << "no earlier start time is known";
 }
 
-TEST(RunnerTableTest, EntryThatOnlyLapsedComesBackAsReady) {
+TEST(RunnerTableTest, ReaddedRunnerIsNotDraining) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   table.Remove(kNow, RunnerId("a"));
-  EXPECT_TRUE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_TRUE(table.Find(RunnerId("a"))->IsDraining());
   table.Upsert(kNow, MakeRunner("a"));
-  EXPECT_FALSE(table.Find(RunnerId("a"))->Leaving());
+  EXPECT_FALSE(table.Find(RunnerId("a"))->IsDraining());
 }
 
-TEST(RunnerTableTest, FailuresInARowAreAvoidedForLongerEachTimeAndOneSuccessEndsIt) {
+TEST(RunnerTableTest, ConsecutiveFailuresBackOffAndSuccessResets) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   RunnerState* state = table.Find(RunnerId("a"));
-  table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
-  EXPECT_LE(state->avoid_until, kNow) << "one failure may be chance";
-  table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kFailed);
+  EXPECT_LE(state->avoid_until, kNow) << "a single failure does not exclude a runner";
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kFailed);
   absl::Duration first = state->avoid_until - kNow;
   EXPECT_GT(first, absl::ZeroDuration());
-  table.Note(kNow, state->runner.id, RunnerSignal::kFailed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kFailed);
   EXPECT_GT(state->avoid_until - kNow, first);
-  table.Note(kNow, state->runner.id, RunnerSignal::kServed);
+  table.RecordSignal(kNow, state->runner.id, RunnerSignal::kServed);
   EXPECT_LE(state->avoid_until, kNow);
 }
 
-TEST(RunnerTableTest, UnreachableIsAvoidedAtOnce) {
+TEST(RunnerTableTest, UnreachableRunnerIsAvoidedImmediately) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
-  table.Note(kNow, RunnerId("a"), RunnerSignal::kUnreachable);
+  table.RecordSignal(kNow, RunnerId("a"), RunnerSignal::kUnreachable);
   EXPECT_GT(table.Find(RunnerId("a"))->avoid_until, kNow);
 }
 
-TEST(RunnerTableTest, PruneKeepsRunnersThatStillHaveOurRequests) {
+TEST(RunnerTableTest, PruneKeepsRunnersWithRequestsInFlight) {
   RunnerTable table;
   table.Upsert(kNow, MakeRunner("a"));
   table.Upsert(kNow, MakeRunner("b"));
