--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -11,7 +11,7 @@
 
 constexpr absl::Duration kJoinRetry = absl::Seconds(1);
 constexpr absl::Duration kForgetInterval = absl::Seconds(10);
-/// A death heard of this short a time ago is the one that a refused connection tells of, too.
+/// A refused connection is attributed to a death recorded within this time.
 constexpr absl::Duration kJustDied = absl::Seconds(5);
 constexpr int kRelayProbeTimeouts = 4;
 
@@ -97,7 +97,7 @@
   if (status == MemberStatus::kAlive) {
     SetStatus(member, MemberStatus::kSuspect, member.update.incarnation);
   } else if (status == MemberStatus::kLeaving) {
-    // It said that it goes; suspecting it would count it as up again.
+    // A suspect counts as up, which a leaving member must not become again.
     SetStatus(member, MemberStatus::kDead, member.update.incarnation);
   }
 }
@@ -198,7 +198,7 @@
   }
   next_join_ = now_ + kJoinRetry;
   for (const wire::Endpoint& seed : seeds_) {
-    // A seed that is known and up needs no join; one lost in a cut is asked again for ever.
+    // Seeds that are up need no join; an unreachable seed is retried indefinitely.
     bool known = std::any_of(members_.begin(), members_.end(), [&](const auto& entry) {
       return entry.second.update.info.peer == seed && IsUp(entry.second.update.status);
     });
@@ -211,7 +211,7 @@
 }
 
 void Membership::Repair() {
-  // The dead are asked too, now and then: the two sides of a healed cut find each other again.
+  // Includes a dead member, so that both sides of a healed network partition merge again.
   std::vector<wire::Endpoint> targets;
   for (NodeId other : RandomOthers(1, kNoNode)) {
     targets.push_back(members_[other].update.info.peer);
@@ -291,7 +291,7 @@
   auto found = members_.find(update.info.id);
   if (found == members_.end()) {
     if (update.info.peer == self_.peer && update.status != MemberStatus::kDead) {
-      // An earlier life of this very daemon: it is gone.
+      // A previous process of this daemon, which no longer runs.
       MemberUpdate gone = update;
       gone.status = MemberStatus::kDead;
       members_[update.info.id] = {gone, now_};
@@ -321,7 +321,7 @@
 
 void Membership::MergeAboutSelf(const MemberUpdate& update) {
   MemberUpdate& own = members_[self_.id].update;
-  // Also what it said in an earlier life is wrong now, such as that it leaves.
+  // Also refutes updates from a previous process with this id, such as its leaving.
   bool wrong = update.incarnation > own.incarnation ||
                (update.incarnation == own.incarnation && update.status != own.status);
   if (wrong) {
@@ -334,8 +334,8 @@
   for (auto& [id, member] : members_) {
     bool earlier_life = id != newcomer.id && member.update.info.peer == newcomer.peer &&
                         member.update.status != MemberStatus::kDead;
-    // Of two lives at one endpoint the one heard of last is taken as the present one; if that is
-    // wrong, the present one refutes its death.
+    // Of two processes at one endpoint the one reported last is taken as current; if that is
+    // wrong, the current one refutes its death.
     if (earlier_life && id != self_.id) {
       SetStatus(member, MemberStatus::kDead, member.update.incarnation);
     }
@@ -388,7 +388,7 @@
       return id;
     }
     if (member.since > latest) {
-      just_died = id;  // Others' news of this death came first.
+      just_died = id;  // Already reported dead by another member.
       latest = member.since;
     }
   }
@@ -406,7 +406,7 @@
   Spread(self_.id);
 }
 
-// ---- Spreading ----
+// ---- Dissemination ----
 
 void Membership::Spread(NodeId about) {
   double members = static_cast<double>(members_.size()) + 1.0;
@@ -416,7 +416,7 @@
 }
 
 std::vector<Membership::Rumour> Membership::TakeFreshest(std::size_t count) {
-  // What was sent least goes first: news of now is not held up by a crowd of older news.
+  // Least-sent updates go first, so that a backlog does not delay new updates.
   count = std::min(count, rumours_.size());
   std::partial_sort(
       rumours_.begin(), rumours_.begin() + static_cast<std::ptrdiff_t>(count), rumours_.end(),
@@ -450,7 +450,7 @@
       rumours_.push_back(rumour);
     }
   }
-  // Whoever is not simply alive must hear of it in the very probe, to refute it in the answer.
+  // Tell a target that is not considered alive its status, so that its reply can refute it.
   auto target = members_.find(packet.target);
   if (target != members_.end() && target->second.update.status != MemberStatus::kAlive) {
     packet.updates.push_back(target->second.update);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,6 @@
 // Failure detection and membership by SWIM (Das, Gupta, Motivala): random probes, indirect probes,
-// suspicion with incarnation numbers, updates piggybacked on the probes. Decision code only.
-// The cost per daemon is constant: one probe a period, whatever the number of members.
+// suspicion with incarnation numbers, updates piggybacked on the probes. Decision logic: no I/O.
+// The probing cost per daemon is constant: one probe per period, independent of the group size.
 #pragma once
 
 #include <cstdint>
@@ -18,13 +18,13 @@
 
 namespace martenyard::membership {
 
-/// What a daemon tells about itself. Constant for one NodeId.
+/// Static description of a daemon; never changes for a given NodeId.
 struct MemberInfo {
   NodeId id;
-  wire::Endpoint peer;     ///< Frames and datagrams between daemons.
-  wire::Endpoint callers;  ///< Its HTTP API.
+  wire::Endpoint peer;     ///< Endpoint for frames and datagrams between daemons.
+  wire::Endpoint callers;  ///< Endpoint of its HTTP API.
   ZoneName zone;
-  bool durable = false;  ///< It has a data folder.
+  bool durable = false;  ///< Has a data directory.
 
   friend bool operator==(const MemberInfo&, const MemberInfo&) = default;
   template <class Archive>
@@ -33,7 +33,7 @@
   }
 };
 
-/// Later states win over earlier ones at the same incarnation.
+/// Ordered by precedence: at the same incarnation the later state overrides the earlier one.
 enum class MemberStatus : std::uint8_t { kAlive, kLeaving, kSuspect, kDead };
 
 struct MemberUpdate {
@@ -52,10 +52,10 @@
 /// One datagram.
 struct Packet {
   PacketKind kind = PacketKind::kPing;
-  std::uint64_t sequence = 0;  ///< Of the probe that this packet belongs to.
+  std::uint64_t sequence = 0;  ///< Sequence number of the probe this packet belongs to.
   NodeId from;
   wire::Endpoint from_endpoint;
-  NodeId target;  ///< kPingRequest: whom to probe; kPing: who should answer.
+  NodeId target;  ///< kPingRequest: member to probe; kPing: member that must reply.
   std::vector<MemberUpdate> updates;
 
   template <class Archive>
@@ -64,8 +64,8 @@
   }
 };
 
-/// The member list, sent over a stream: whole as an answer to a join; now and then its digest
-/// alone, which is answered with the whole list where it differs.
+/// The member list, sent over a stream: in full as the reply to a join, and periodically as a
+/// digest, to which a peer whose digest differs replies with its full list.
 struct MemberList {
   bool reply_wanted = false;
   bool digest_only = false;
@@ -77,15 +77,14 @@
   }
 };
 
-/// Tunables.
 struct MembershipOptions {
   absl::Duration probe_interval = absl::Milliseconds(500);
-  absl::Duration probe_timeout = absl::Milliseconds(150);  ///< Then others are asked to probe.
+  absl::Duration probe_timeout = absl::Milliseconds(150);  ///< Indirect probes start after it.
   int indirect_probes = 3;
-  absl::Duration suspicion = absl::Seconds(2);               ///< Before a suspect counts as dead.
-  absl::Duration gossip_interval = absl::Milliseconds(200);  ///< Only while there is news.
+  absl::Duration suspicion = absl::Seconds(2);               ///< Before a suspect is declared dead.
+  absl::Duration gossip_interval = absl::Milliseconds(200);  ///< Only while updates are pending.
   int gossip_fanout = 3;
-  absl::Duration repair_interval = absl::Seconds(10);  ///< Digests with a random member.
+  absl::Duration repair_interval = absl::Seconds(10);  ///< Digest exchange with a random member.
   absl::Duration keep_dead = absl::Minutes(10);
   int updates_per_packet = 8;
   int retransmit_factor = 3;  ///< Each update is sent about factor * log2(members) times.
@@ -101,7 +100,7 @@
   MemberList list;
 };
 
-/// What the owner must send; take it after every call.
+/// Messages the owner must send; collect them with TakeEffects() after every call.
 struct MembershipEffects {
   std::vector<PacketTo> packets;
   std::vector<MemberListTo> lists;
@@ -115,19 +114,20 @@
   void Tick(absl::Time now);
   void OnPacket(absl::Time now, const Packet& packet);
   void OnMemberList(absl::Time now, const wire::Endpoint& from, const MemberList& list);
-  /// The process at `endpoint` is known to be dead (nothing listens there any more).
-  /// @return the member that it was, if it was believed up or leaving, or is dead only since now.
+  /// Reports that the process at `endpoint` is dead (nothing listens there any more).
+  /// @return the member at that endpoint if it was not yet declared dead or was declared dead
+  /// recently.
   std::optional<NodeId> OnEndpointDead(absl::Time now, const wire::Endpoint& endpoint);
-  /// Tells everyone that this daemon takes no new work; it still answers.
+  /// Announces that this daemon accepts no new work; it still replies to probes.
   void Leave();
   MembershipEffects TakeEffects();
 
   const MemberInfo& self() const { return self_; }
-  /// @return members believed up and staying (alive or suspect), this daemon included, by id.
+  /// @return the alive and suspect members, including this daemon, ordered by id.
   std::vector<MemberInfo> Live() const;
   /// @return the member if it is known and not dead.
   const MemberInfo* Find(NodeId node) const;
-  /// @return the member as last heard of, dead or not, or null.
+  /// @return the last known description of the member, dead or not, or null.
   const MemberInfo* FindEvenDead(NodeId node) const;
   MemberStatus StatusOf(NodeId node) const;  ///< kDead for unknown members.
   /// @return when the member was declared dead; the infinite past for unknown members.
@@ -135,7 +135,7 @@
   /// Changes whenever `Live` does.
   std::uint64_t version() const { return version_; }
   std::size_t known_count() const { return members_.size(); }
-  /// Deaths this daemon declared that the member itself refuted afterwards.
+  /// Number of members recorded as dead that turned out to be up.
   std::uint64_t refuted_count() const { return refuted_; }
 
  private:
@@ -165,7 +165,7 @@
   void AskOthers();
   std::optional<NodeId> NextTarget();
   std::vector<NodeId> RandomOthers(std::size_t count, NodeId except);
-  /// @param spread false for what came in a whole list: others learn that in their own time.
+  /// @param spread whether to gossip a newly learned member; false for members of a full list.
   void Merge(const MemberUpdate& update, bool spread);
   void MergeAboutSelf(const MemberUpdate& update);
   void RetireEndpoint(const MemberInfo& newcomer);
@@ -176,7 +176,7 @@
   void JoinSeeds();
   void Gossip();
   void Repair();
-  /// @return a hash of who is here in which state; the dead do not count, as they get forgotten.
+  /// @return a hash of the members and their states, without dead members, which expire.
   std::uint64_t Digest() const;
   std::vector<Rumour> TakeFreshest(std::size_t count);
   void ExpireSuspects();
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -9,7 +9,7 @@
 namespace martenyard::membership {
 namespace {
 
-/// Members on a network without delay; some may be down or cut off.
+/// Members on a simulated network without delay; members can be down and links cut.
 class Fleet {
  public:
   explicit Fleet(std::size_t size) {
@@ -34,7 +34,7 @@
   Membership& At(std::size_t index) { return *members_[Endpoint(index)]; }
   void Kill(std::size_t index) { down_.insert(Endpoint(index)); }
   void Revive(std::size_t index) { down_.erase(Endpoint(index)); }
-  /// Drops what goes directly between two members, in both directions.
+  /// Drops all messages sent directly between two members, in both directions.
   void CutPair(std::size_t left, std::size_t right) {
     pairs_.insert({Endpoint(left), Endpoint(right)});
     pairs_.insert({Endpoint(right), Endpoint(left)});
@@ -155,7 +155,8 @@
   fleet.Kill(2);
   for (int step = 0; step < 100; ++step) {
     fleet.Run(absl::Milliseconds(100));
-    ASSERT_TRUE(fleet.AllSee(5)) << "a leaver that fails its probes must not be a suspect";
+    ASSERT_TRUE(fleet.AllSee(5))
+        << "a leaving member that fails its probes must not become suspect";
   }
 }
 
