--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr absl::Duration kJoinRetry = absl::Seconds(1);
-constexpr absl::Duration kForgetInterval = absl::Seconds(10);
+constexpr absl::Duration kDeadCleanupInterval = absl::Seconds(10);
 /// A refused connection is attributed to a death recorded within this time.
-constexpr absl::Duration kJustDied = absl::Seconds(5);
+constexpr absl::Duration kRecentDeathWindow = absl::Seconds(5);
 constexpr int kRelayProbeTimeouts = 4;
 
 bool IsUp(MemberStatus status) {
@@ -41,22 +41,22 @@
       next_gossip_(now + options.gossip_interval * random_.Uniform()),
       next_repair_(now + options.repair_interval * random_.Uniform()),
       next_join_(now),
-      next_forget_(now) {
+      next_dead_cleanup_(now) {
   std::erase(seeds_, self_.peer);
   members_[self_.id] = {{self_, 0, MemberStatus::kAlive}, now};
-  Spread(self_.id);
+  EnqueueUpdate(self_.id);
 }
 
 void Membership::Tick(absl::Time now) {
   now_ = std::max(now_, now);
   JoinSeeds();
   ExpireSuspects();
-  if (now_ >= next_forget_) {
-    next_forget_ = now_ + kForgetInterval;
-    ForgetDead();
+  if (now_ >= next_dead_cleanup_) {
+    next_dead_cleanup_ = now_ + kDeadCleanupInterval;
+    RemoveExpiredDead();
   }
-  if (probe_ && !probe_->asked_others && now_ >= probe_->indirect_at) {
-    AskOthers();
+  if (probe_ && !probe_->ping_requests_sent && now_ >= probe_->indirect_at) {
+    SendPingRequests();
   }
   if (now_ >= next_probe_) {
     next_probe_ = now_ + options_.probe_interval;
@@ -70,7 +70,7 @@
     next_repair_ = now_ + options_.repair_interval;
     Repair();
   }
-  std::erase_if(relayed_, [&](const auto& entry) { return entry.second.forget_at <= now_; });
+  std::erase_if(relayed_, [&](const auto& entry) { return entry.second.expires_at <= now_; });
 }
 
 // ---- Probing ----
@@ -138,8 +138,8 @@
   return others;
 }
 
-void Membership::AskOthers() {
-  probe_->asked_others = true;
+void Membership::SendPingRequests() {
+  probe_->ping_requests_sent = true;
   auto count = static_cast<std::size_t>(options_.indirect_probes);
   for (NodeId other : RandomOthers(count, probe_->target)) {
     Send(members_[other].update.info.peer,
@@ -150,7 +150,7 @@
 void Membership::OnPacket(absl::Time now, const Packet& packet) {
   now_ = std::max(now_, now);
   for (const MemberUpdate& update : packet.updates) {
-    Merge(update, /*spread=*/true);
+    Merge(update, /*disseminate=*/true);
   }
   switch (packet.kind) {
     case PacketKind::kPing:
@@ -161,8 +161,8 @@
     case PacketKind::kAck: {
       auto relayed = relayed_.find(packet.sequence);
       if (relayed != relayed_.end()) {
-        Send(relayed->second.asker,
-             MakePacket(PacketKind::kAck, relayed->second.asker_sequence, packet.from));
+        Send(relayed->second.requester,
+             MakePacket(PacketKind::kAck, relayed->second.requester_sequence, packet.from));
         relayed_.erase(relayed);
       }
       if (probe_ && probe_->sequence == packet.sequence) {
@@ -185,7 +185,7 @@
     case PacketKind::kGossip:
       break;
     case PacketKind::kJoin:
-      effects_.lists.push_back({packet.from_endpoint, WholeList(/*reply_wanted=*/false)});
+      effects_.lists.push_back({packet.from_endpoint, FullList(/*reply_wanted=*/false)});
       break;
   }
 }
@@ -234,7 +234,7 @@
 }
 
 void Membership::Gossip() {
-  if (rumours_.empty()) {
+  if (pending_updates_.empty()) {
     return;
   }
   auto fanout = static_cast<std::size_t>(options_.gossip_fanout);
@@ -256,7 +256,7 @@
   return digest;
 }
 
-MemberList Membership::WholeList(bool reply_wanted) const {
+MemberList Membership::FullList(bool reply_wanted) const {
   MemberList list;
   list.reply_wanted = reply_wanted;
   for (const auto& [id, member] : members_) {
@@ -269,21 +269,21 @@
   now_ = std::max(now_, now);
   if (list.digest_only) {
     if (list.digest != Digest()) {
-      effects_.lists.push_back({from, WholeList(/*reply_wanted=*/true)});
+      effects_.lists.push_back({from, FullList(/*reply_wanted=*/true)});
     }
     return;
   }
   for (const MemberUpdate& update : list.members) {
-    Merge(update, /*spread=*/false);
+    Merge(update, /*disseminate=*/false);
   }
   if (list.reply_wanted) {
-    effects_.lists.push_back({from, WholeList(/*reply_wanted=*/false)});
+    effects_.lists.push_back({from, FullList(/*reply_wanted=*/false)});
   }
 }
 
 // ---- Merging ----
 
-void Membership::Merge(const MemberUpdate& update, bool spread) {
+void Membership::Merge(const MemberUpdate& update, bool disseminate) {
   if (update.info.id == self_.id) {
     MergeAboutSelf(update);
     return;
@@ -295,7 +295,7 @@
       MemberUpdate gone = update;
       gone.status = MemberStatus::kDead;
       members_[update.info.id] = {gone, now_};
-      Spread(update.info.id);
+      EnqueueUpdate(update.info.id);
       return;
     }
     members_[update.info.id] = {update, now_};
@@ -304,9 +304,9 @@
     }
     ++version_;
     if (update.status != MemberStatus::kDead) {
-      RetireEndpoint(update.info);
-      if (spread) {
-        Spread(update.info.id);
+      DeclarePredecessorsDead(update.info);
+      if (disseminate) {
+        EnqueueUpdate(update.info.id);
       }
     }
     return;
@@ -326,17 +326,17 @@
                (update.incarnation == own.incarnation && update.status != own.status);
   if (wrong) {
     own.incarnation = update.incarnation + 1;
-    Spread(self_.id);
+    EnqueueUpdate(self_.id);
   }
 }
 
-void Membership::RetireEndpoint(const MemberInfo& newcomer) {
+void Membership::DeclarePredecessorsDead(const MemberInfo& newcomer) {
   for (auto& [id, member] : members_) {
-    bool earlier_life = id != newcomer.id && member.update.info.peer == newcomer.peer &&
-                        member.update.status != MemberStatus::kDead;
+    bool predecessor = id != newcomer.id && member.update.info.peer == newcomer.peer &&
+                       member.update.status != MemberStatus::kDead;
     // Of two processes at one endpoint the one reported last is taken as current; if that is
     // wrong, the current one refutes its death.
-    if (earlier_life && id != self_.id) {
+    if (predecessor && id != self_.id) {
       SetStatus(member, MemberStatus::kDead, member.update.incarnation);
     }
   }
@@ -355,7 +355,7 @@
   if (was_up != IsUp(status)) {
     ++version_;
   }
-  Spread(member.update.info.id);
+  EnqueueUpdate(member.update.info.id);
 }
 
 void Membership::ExpireSuspects() {
@@ -368,7 +368,7 @@
   }
 }
 
-void Membership::ForgetDead() {
+void Membership::RemoveExpiredDead() {
   std::erase_if(members_, [&](const auto& entry) {
     const Member& member = entry.second;
     return member.update.status == MemberStatus::kDead && member.since + options_.keep_dead <= now_;
@@ -377,8 +377,8 @@
 
 std::optional<NodeId> Membership::OnEndpointDead(absl::Time now, const wire::Endpoint& endpoint) {
   now_ = std::max(now_, now);
-  std::optional<NodeId> just_died;
-  absl::Time latest = now_ - kJustDied;
+  std::optional<NodeId> recently_dead;
+  absl::Time latest = now_ - kRecentDeathWindow;
   for (auto& [id, member] : members_) {
     if (id == self_.id || member.update.info.peer != endpoint) {
       continue;
@@ -388,11 +388,11 @@
       return id;
     }
     if (member.since > latest) {
-      just_died = id;  // Already reported dead by another member.
+      recently_dead = id;  // Already reported dead by another member.
       latest = member.since;
     }
   }
-  return just_died;
+  return recently_dead;
 }
 
 void Membership::Leave() {
@@ -403,28 +403,32 @@
   ++own.incarnation;
   own.status = MemberStatus::kLeaving;
   ++version_;
-  Spread(self_.id);
+  EnqueueUpdate(self_.id);
 }
 
 // ---- Dissemination ----
 
-void Membership::Spread(NodeId about) {
+void Membership::EnqueueUpdate(NodeId subject) {
   double members = static_cast<double>(members_.size()) + 1.0;
   int sends = options_.retransmit_factor * static_cast<int>(std::ceil(std::log2(members + 1.0)));
-  std::erase_if(rumours_, [&](const Rumour& rumour) { return rumour.about == about; });
-  rumours_.push_back({about, sends});
+  std::erase_if(pending_updates_,
+                [&](const PendingUpdate& pending) { return pending.subject == subject; });
+  pending_updates_.push_back({subject, sends});
 }
 
-std::vector<Membership::Rumour> Membership::TakeFreshest(std::size_t count) {
+std::vector<Membership::PendingUpdate> Membership::TakeLeastSent(std::size_t count) {
   // Least-sent updates go first, so that a backlog does not delay new updates.
-  count = std::min(count, rumours_.size());
+  count = std::min(count, pending_updates_.size());
   std::partial_sort(
-      rumours_.begin(), rumours_.begin() + static_cast<std::ptrdiff_t>(count), rumours_.end(),
-      [](const Rumour& left, const Rumour& right) { return left.sends_left > right.sends_left; });
-  std::vector<Rumour> freshest(rumours_.begin(),
-                               rumours_.begin() + static_cast<std::ptrdiff_t>(count));
-  rumours_.erase(rumours_.begin(), rumours_.begin() + static_cast<std::ptrdiff_t>(count));
-  return freshest;
+      pending_updates_.begin(), pending_updates_.begin() + static_cast<std::ptrdiff_t>(count),
+      pending_updates_.end(), [](const PendingUpdate& left, const PendingUpdate& right) {
+        return left.sends_left > right.sends_left;
+      });
+  std::vector<PendingUpdate> least_sent(
+      pending_updates_.begin(), pending_updates_.begin() + static_cast<std::ptrdiff_t>(count));
+  pending_updates_.erase(pending_updates_.begin(),
+                         pending_updates_.begin() + static_cast<std::ptrdiff_t>(count));
+  return least_sent;
 }
 
 Packet Membership::MakePacket(PacketKind kind, std::uint64_t sequence, NodeId target) {
@@ -438,16 +442,16 @@
 }
 
 void Membership::Send(const wire::Endpoint& to, Packet packet) {
-  auto room = static_cast<std::size_t>(options_.updates_per_packet);
-  for (Rumour& rumour : TakeFreshest(room)) {
-    auto found = members_.find(rumour.about);
+  auto max_updates = static_cast<std::size_t>(options_.updates_per_packet);
+  for (PendingUpdate& pending : TakeLeastSent(max_updates)) {
+    auto found = members_.find(pending.subject);
     if (found == members_.end()) {
       continue;
     }
     packet.updates.push_back(found->second.update);
-    --rumour.sends_left;
-    if (rumour.sends_left > 0) {
-      rumours_.push_back(rumour);
+    --pending.sends_left;
+    if (pending.sends_left > 0) {
+      pending_updates_.push_back(pending);
     }
   }
   // Tell a target that is not considered alive its status, so that its reply can refute it.
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -148,29 +148,29 @@
     std::uint64_t sequence = 0;
     absl::Time indirect_at;
     absl::Time fails_at;
-    bool asked_others = false;
+    bool ping_requests_sent = false;
   };
-  struct Rumour {
-    NodeId about;
+  struct PendingUpdate {
+    NodeId subject;
     int sends_left = 0;
   };
   struct RelayedProbe {
-    wire::Endpoint asker;
-    std::uint64_t asker_sequence = 0;
-    absl::Time forget_at;
+    wire::Endpoint requester;
+    std::uint64_t requester_sequence = 0;
+    absl::Time expires_at;
   };
 
   void StartProbe();
   void OnProbeFailed(Member& member);
-  void AskOthers();
+  void SendPingRequests();
   std::optional<NodeId> NextTarget();
   std::vector<NodeId> RandomOthers(std::size_t count, NodeId except);
-  /// @param spread whether to gossip a newly learned member; false for members of a full list.
-  void Merge(const MemberUpdate& update, bool spread);
+  /// @param disseminate whether to gossip a newly learned member; false for members of a full list.
+  void Merge(const MemberUpdate& update, bool disseminate);
   void MergeAboutSelf(const MemberUpdate& update);
-  void RetireEndpoint(const MemberInfo& newcomer);
+  void DeclarePredecessorsDead(const MemberInfo& newcomer);
   void SetStatus(Member& member, MemberStatus status, std::uint32_t incarnation);
-  void Spread(NodeId about);
+  void EnqueueUpdate(NodeId subject);
   Packet MakePacket(PacketKind kind, std::uint64_t sequence, NodeId target);
   void Send(const wire::Endpoint& to, Packet packet);
   void JoinSeeds();
@@ -178,10 +178,10 @@
   void Repair();
   /// @return a hash of the members and their states, without dead members, which expire.
   std::uint64_t Digest() const;
-  std::vector<Rumour> TakeFreshest(std::size_t count);
+  std::vector<PendingUpdate> TakeLeastSent(std::size_t count);
   void ExpireSuspects();
-  void ForgetDead();
-  MemberList WholeList(bool reply_wanted) const;
+  void RemoveExpiredDead();
+  MemberList FullList(bool reply_wanted) const;
 
   MemberInfo self_;
   MembershipOptions options_;
@@ -193,13 +193,13 @@
   std::deque<NodeId> probe_order_;
   std::optional<Probe> probe_;
   std::map<std::uint64_t, RelayedProbe> relayed_;
-  std::vector<Rumour> rumours_;
+  std::vector<PendingUpdate> pending_updates_;
   std::uint64_t last_sequence_ = 0;
   absl::Time next_probe_;
   absl::Time next_gossip_;
   absl::Time next_repair_;
   absl::Time next_join_;
-  absl::Time next_forget_;
+  absl::Time next_dead_cleanup_;
   std::uint64_t version_ = 0;
   std::uint64_t refuted_ = 0;
   MembershipEffects effects_;
