--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -115,7 +115,7 @@
   options.group.max_waiting_calls = static_cast<std::size_t>(settings_.max_waiting_per_program);
   options.membership.probe_interval = settings_.probe_interval;
   options.membership.probe_timeout = settings_.probe_interval * 0.4;
-  options.membership.suspicion = settings_.suspicion;
+  options.membership.suspicion_timeout = settings_.suspicion;
   options.replace_after = settings_.replace_after;
   options.coordinator.grant_lease = settings_.grant_lease;
   options.coordinator.max_active = static_cast<std::size_t>(settings_.max_active_calls);
--- a/src/daemon/group_log.cc
+++ b/src/daemon/group_log.cc
@@ -13,7 +13,7 @@
   if (node == kNoNode) {
     return "nobody";
   }
-  const membership::MemberInfo* member = membership.FindEvenDead(node);
+  const membership::MemberInfo* member = membership.FindIncludingDead(node);
   return member == nullptr ? "node " + std::to_string(node.value) : member->peer.ToString();
 }
 
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -189,17 +189,17 @@
     return;
   }
   // A member that is wrongly believed dead must still be reached by its group.
-  if (const membership::MemberInfo* member = membership_.FindEvenDead(to)) {
+  if (const membership::MemberInfo* member = membership_.FindIncludingDead(to)) {
     environment_.SendFrame(member->peer, envelope);
   }
 }
 
 void Node::FlushMembership() {
   membership::MembershipEffects effects = membership_.TakeEffects();
-  for (const membership::PacketTo& packet : effects.packets) {
+  for (const membership::OutgoingPacket& packet : effects.packets) {
     environment_.SendDatagram(packet.to, packet.packet);
   }
-  for (membership::MemberListTo& list : effects.lists) {
+  for (membership::OutgoingMemberList& list : effects.lists) {
     environment_.SendFrame(list.to,
                            {Self(), membership_.self().peer, kNoNode, std::move(list.list)});
   }
@@ -474,7 +474,7 @@
                      raft.LastContact(member) + options_.replace_after <= now_;
     view.gone = member != Self() && dead_long;
     // A leaving daemon without a data folder takes its replica's memory with it.
-    const membership::MemberInfo* info = membership_.FindEvenDead(member);
+    const membership::MemberInfo* info = membership_.FindIncludingDead(member);
     bool volatile_leaver =
         status == membership::MemberStatus::kLeaving && info != nullptr && !info->durable;
     view.gone = view.gone || volatile_leaver;
@@ -655,7 +655,7 @@
     last = {successor, now_};
     MARTENYARD_LOG_INFO(kLog, "Handing group "
                                   << group.value << " over to "
-                                  << membership_.FindEvenDead(successor)->peer.ToString()
+                                  << membership_.FindIncludingDead(successor)->peer.ToString()
                                   << ", whose log reaches " << raft.MatchIndex(successor) << " of "
                                   << raft.last_index() << ".");
     raft.TransferLeadership(successor);
--- a/src/membership/membership.cc
+++ b/src/membership/membership.cc
@@ -362,7 +362,7 @@
   std::set<NodeId> watched = suspects_;
   for (NodeId id : watched) {
     Member& member = members_[id];
-    if (member.since + options_.suspicion <= now_) {
+    if (member.since + options_.suspicion_timeout <= now_) {
       SetStatus(member, MemberStatus::kDead, member.update.incarnation);
     }
   }
@@ -371,7 +371,8 @@
 void Membership::RemoveExpiredDead() {
   std::erase_if(members_, [&](const auto& entry) {
     const Member& member = entry.second;
-    return member.update.status == MemberStatus::kDead && member.since + options_.keep_dead <= now_;
+    return member.update.status == MemberStatus::kDead &&
+           member.since + options_.dead_retention <= now_;
   });
 }
 
@@ -486,7 +487,7 @@
   return usable ? &found->second.update.info : nullptr;
 }
 
-const MemberInfo* Membership::FindEvenDead(NodeId node) const {
+const MemberInfo* Membership::FindIncludingDead(NodeId node) const {
   auto found = members_.find(node);
   return found == members_.end() ? nullptr : &found->second.update.info;
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -81,29 +81,29 @@
   absl::Duration probe_interval = absl::Milliseconds(500);
   absl::Duration probe_timeout = absl::Milliseconds(150);  ///< Indirect probes start after it.
   int indirect_probes = 3;
-  absl::Duration suspicion = absl::Seconds(2);               ///< Before a suspect is declared dead.
+  absl::Duration suspicion_timeout = absl::Seconds(2);       ///< Before a suspect is declared dead.
   absl::Duration gossip_interval = absl::Milliseconds(200);  ///< Only while updates are pending.
   int gossip_fanout = 3;
   absl::Duration repair_interval = absl::Seconds(10);  ///< Digest exchange with a random member.
-  absl::Duration keep_dead = absl::Minutes(10);
+  absl::Duration dead_retention = absl::Minutes(10);
   int updates_per_packet = 8;
   int retransmit_factor = 3;  ///< Each update is sent about factor * log2(members) times.
 };
 
-struct PacketTo {
+struct OutgoingPacket {
   wire::Endpoint to;
   Packet packet;
 };
 
-struct MemberListTo {
+struct OutgoingMemberList {
   wire::Endpoint to;
   MemberList list;
 };
 
 /// Messages the owner must send; collect them with TakeEffects() after every call.
 struct MembershipEffects {
-  std::vector<PacketTo> packets;
-  std::vector<MemberListTo> lists;
+  std::vector<OutgoingPacket> packets;
+  std::vector<OutgoingMemberList> lists;
 };
 
 class Membership {
@@ -128,7 +128,7 @@
   /// @return the member if it is known and not dead.
   const MemberInfo* Find(NodeId node) const;
   /// @return the last known description of the member, dead or not, or null.
-  const MemberInfo* FindEvenDead(NodeId node) const;
+  const MemberInfo* FindIncludingDead(NodeId node) const;
   MemberStatus StatusOf(NodeId node) const;  ///< kDead for unknown members.
   /// @return when the member was declared dead; the infinite past for unknown members.
   absl::Time DeadSince(NodeId node) const;
--- a/tests/membership/membership_test.cc
+++ b/tests/membership/membership_test.cc
@@ -10,9 +10,9 @@
 namespace {
 
 /// Members on a simulated network without delay; members can be down and links cut.
-class Fleet {
+class SimulatedCluster {
  public:
-  explicit Fleet(std::size_t size) {
+  explicit SimulatedCluster(std::size_t size) {
     for (std::size_t index = 0; index < size; ++index) {
       Boot(index, index + 1);
     }
@@ -35,9 +35,9 @@
   void Kill(std::size_t index) { down_.insert(Endpoint(index)); }
   void Revive(std::size_t index) { down_.erase(Endpoint(index)); }
   /// Drops all messages sent directly between two members, in both directions.
-  void CutPair(std::size_t left, std::size_t right) {
-    pairs_.insert({Endpoint(left), Endpoint(right)});
-    pairs_.insert({Endpoint(right), Endpoint(left)});
+  void CutLink(std::size_t left, std::size_t right) {
+    cut_links_.insert({Endpoint(left), Endpoint(right)});
+    cut_links_.insert({Endpoint(right), Endpoint(left)});
   }
 
   void Run(absl::Duration time) {
@@ -80,16 +80,16 @@
         if (down_.contains(from)) {
           continue;
         }
-        for (PacketTo& packet : effects.packets) {
+        for (OutgoingPacket& packet : effects.packets) {
           busy = true;
           ++packets_;
-          if (Open(from, packet.to)) {
+          if (IsReachable(from, packet.to)) {
             members_[packet.to]->OnPacket(now_, packet.packet);
           }
         }
-        for (MemberListTo& list : effects.lists) {
+        for (OutgoingMemberList& list : effects.lists) {
           busy = true;
-          if (Open(from, list.to)) {
+          if (IsReachable(from, list.to)) {
             members_[list.to]->OnMemberList(now_, from, list.list);
           }
         }
@@ -97,87 +97,88 @@
     }
   }
 
-  bool Open(const wire::Endpoint& from, const wire::Endpoint& to) {
-    return members_.contains(to) && !down_.contains(to) && !pairs_.contains({from, to});
+  bool IsReachable(const wire::Endpoint& from, const wire::Endpoint& to) {
+    return members_.contains(to) && !down_.contains(to) && !cut_links_.contains({from, to});
   }
 
   absl::Time now_ = absl::FromUnixSeconds(1000);
   std::map<wire::Endpoint, std::unique_ptr<Membership>> members_;
   std::set<wire::Endpoint> down_;
-  std::set<std::pair<wire::Endpoint, wire::Endpoint>> pairs_;
+  std::set<std::pair<wire::Endpoint, wire::Endpoint>> cut_links_;
   std::uint64_t packets_ = 0;
 };
 
-TEST(MembershipTest, EveryoneLearnsOfEveryoneThroughOneSeed) {
-  Fleet fleet(30);
-  EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(30); }, absl::Seconds(20)));
+TEST(MembershipTest, AllMembersDiscoverEachOtherThroughOneSeed) {
+  SimulatedCluster cluster(30);
+  EXPECT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(30); }, absl::Seconds(20)));
 }
 
 TEST(MembershipTest, DeathIsKnownEverywhere) {
-  Fleet fleet(20);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(20); }, absl::Seconds(20)));
-  fleet.Kill(7);
-  EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(19); }, absl::Seconds(20)));
-  EXPECT_EQ(fleet.At(3).StatusOf(NodeId(8)), MemberStatus::kDead);
+  SimulatedCluster cluster(20);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(20); }, absl::Seconds(20)));
+  cluster.Kill(7);
+  EXPECT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(19); }, absl::Seconds(20)));
+  EXPECT_EQ(cluster.At(3).StatusOf(NodeId(8)), MemberStatus::kDead);
 }
 
 TEST(MembershipTest, MemberThatOneOtherCantReachIsNotDeclaredDead) {
-  Fleet fleet(10);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(10); }, absl::Seconds(20)));
-  fleet.CutPair(2, 5);
-  fleet.Run(absl::Seconds(60));
-  EXPECT_TRUE(fleet.AllSee(10)) << "indirect probes reach it";
+  SimulatedCluster cluster(10);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(10); }, absl::Seconds(20)));
+  cluster.CutLink(2, 5);
+  cluster.Run(absl::Seconds(60));
+  EXPECT_TRUE(cluster.AllSee(10)) << "indirect probes reach it";
 }
 
-TEST(MembershipTest, MemberThatWasSilentForAWhileRefutesItsDeath) {
-  Fleet fleet(10);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(10); }, absl::Seconds(20)));
-  fleet.Kill(4);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(9); }, absl::Seconds(20)));
-  fleet.Revive(4);
-  EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(10); }, absl::Seconds(90)));
+TEST(MembershipTest, UnresponsiveMemberRefutesItsDeathOnRecovery) {
+  SimulatedCluster cluster(10);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(10); }, absl::Seconds(20)));
+  cluster.Kill(4);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(9); }, absl::Seconds(20)));
+  cluster.Revive(4);
+  EXPECT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(10); }, absl::Seconds(90)));
 }
 
-TEST(MembershipTest, NewLifeAtAnEndpointRetiresTheOldOne) {
-  Fleet fleet(5);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(5); }, absl::Seconds(20)));
-  fleet.Boot(3, 99);
-  ASSERT_TRUE(fleet.RunUntil(
-      [&] { return fleet.At(1).StatusOf(NodeId(99)) == MemberStatus::kAlive; }, absl::Seconds(20)));
-  EXPECT_EQ(fleet.At(1).StatusOf(NodeId(4)), MemberStatus::kDead);
+TEST(MembershipTest, NewProcessAtAnEndpointReplacesTheOldOne) {
+  SimulatedCluster cluster(5);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(5); }, absl::Seconds(20)));
+  cluster.Boot(3, 99);
+  ASSERT_TRUE(
+      cluster.RunUntil([&] { return cluster.At(1).StatusOf(NodeId(99)) == MemberStatus::kAlive; },
+                       absl::Seconds(20)));
+  EXPECT_EQ(cluster.At(1).StatusOf(NodeId(4)), MemberStatus::kDead);
 }
 
 TEST(MembershipTest, LeavingMemberCountsAsDownAtOnceAndNeverAsUpAgain) {
-  Fleet fleet(6);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(6); }, absl::Seconds(20)));
-  fleet.At(2).Leave();
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(5); }, absl::Seconds(10)));
-  fleet.Kill(2);
+  SimulatedCluster cluster(6);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(6); }, absl::Seconds(20)));
+  cluster.At(2).Leave();
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(5); }, absl::Seconds(10)));
+  cluster.Kill(2);
   for (int step = 0; step < 100; ++step) {
-    fleet.Run(absl::Milliseconds(100));
-    ASSERT_TRUE(fleet.AllSee(5))
+    cluster.Run(absl::Milliseconds(100));
+    ASSERT_TRUE(cluster.AllSee(5))
         << "a leaving member that fails its probes must not become suspect";
   }
 }
 
-TEST(MembershipTest, MemberThatLeftAndCameBackUnderItsIdIsUpAgain) {
-  Fleet fleet(6);
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(6); }, absl::Seconds(20)));
-  fleet.At(2).Leave();
-  ASSERT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(5); }, absl::Seconds(10)));
-  fleet.Boot(2, 3);
-  EXPECT_TRUE(fleet.RunUntil([&] { return fleet.AllSee(6); }, absl::Seconds(10)));
+TEST(MembershipTest, MemberThatLeftAndRestartedWithItsIdIsUpAgain) {
+  SimulatedCluster cluster(6);
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(6); }, absl::Seconds(20)));
+  cluster.At(2).Leave();
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(5); }, absl::Seconds(10)));
+  cluster.Boot(2, 3);
+  EXPECT_TRUE(cluster.RunUntil([&] { return cluster.AllSee(6); }, absl::Seconds(10)));
 }
 
-TEST(MembershipTest, RefusedConnectionNamesTheMemberThoughItsDeathWasHeardOfBefore) {
+TEST(MembershipTest, RefusedConnectionNamesTheMemberWhoseDeathWasAlreadyReported) {
   absl::Time now = absl::FromUnixSeconds(1000);
   MemberInfo self;
   self.id = NodeId(1);
-  self.peer = Fleet::Endpoint(0);
+  self.peer = SimulatedCluster::Endpoint(0);
   Membership membership(self, MembershipOptions{}, {}, 1, now);
   MemberInfo other;
   other.id = NodeId(2);
-  other.peer = Fleet::Endpoint(1);
+  other.peer = SimulatedCluster::Endpoint(1);
   Packet packet;
   packet.kind = PacketKind::kGossip;
   packet.updates = {{other, 0, MemberStatus::kAlive}};
@@ -188,13 +189,13 @@
   EXPECT_EQ(membership.OnEndpointDead(now + absl::Minutes(1), other.peer), std::nullopt);
 }
 
-TEST(MembershipTest, PacketsPerMemberDoNotGrowWithTheFleet) {
+TEST(MembershipTest, PacketsPerMemberDoNotGrowWithTheClusterSize) {
   auto per_member = [](std::size_t size) {
-    Fleet fleet(size);
-    fleet.RunUntil([&] { return fleet.AllSee(size); }, absl::Seconds(60));
-    std::uint64_t before = fleet.packets();
-    fleet.Run(absl::Seconds(20));
-    return static_cast<double>(fleet.packets() - before) / static_cast<double>(size);
+    SimulatedCluster cluster(size);
+    cluster.RunUntil([&] { return cluster.AllSee(size); }, absl::Seconds(60));
+    std::uint64_t before = cluster.packets();
+    cluster.Run(absl::Seconds(20));
+    return static_cast<double>(cluster.packets() - before) / static_cast<double>(size);
   };
   EXPECT_NEAR(per_member(40), per_member(10), per_member(10) * 0.2);
 }
