--- a/src/daemon/backend_view.cc
+++ b/src/daemon/backend_view.cc
@@ -10,7 +10,7 @@
 
 constexpr absl::Duration kGoneAfter = absl::Seconds(30);
 constexpr absl::Duration kLeavingMemory = absl::Seconds(30);
-/// A load report older than this says nothing; only the gateway's own count is then used.
+/// Older load reports are ignored in favour of the gateway's own counts.
 constexpr absl::Duration kLoadLifetime = absl::Seconds(3);
 
 const bundle::LendSpec* LendingOf(const bundle::BundleBook& bundles, const PartnerName& owner) {
--- a/src/daemon/backend_view.h
+++ b/src/daemon/backend_view.h
@@ -1,5 +1,5 @@
-// What a daemon knows of the back ends: the platform's lagging list, the dispatchers' load reports,
-// and which daemon dispatches for which engine. Decision code only.
+// A daemon's view of the back ends: the platform's machine list, which lags, the dispatchers' load
+// reports and the assignment of engines to dispatching daemons. Decision logic: no I/O.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace martenyard::daemon {
 
-/// The live members, and by zone: a dispatcher is found without looking at the whole fleet.
+/// The live members, indexed by zone so that finding a dispatcher does not scan all members.
 struct LiveMembers {
   std::vector<membership::MemberInfo> all;
   std::map<ZoneName, std::vector<NodeId>> by_zone;
@@ -35,17 +35,17 @@
 
   void SetMachines(absl::Time now, std::vector<clients::Backend> machines);
   void OnLoads(absl::Time now, const std::vector<dispatch::EngineLoad>& loads);
-  /// The engine refused as leaving, which the list does not show yet.
+  /// Records that the engine rejected a request because it is leaving, before the list shows it.
   void MarkLeaving(absl::Time now, const BackendName& engine);
 
-  /// @return engines of the service that `partner` owns or that their owner lends.
+  /// @return engines of the service that `partner` owns or that are lent by their owner.
   std::vector<gateway::EngineCandidate> EnginesFor(absl::Time now, const PartnerName& partner,
                                                    const std::string& service,
                                                    const bundle::BundleBook& bundles) const;
   std::vector<clients::Backend> ServicesFor(const PartnerName& partner, clients::BackendKind kind,
                                             const std::string& service) const;
   const clients::Backend* Find(const BackendName& name) const;
-  /// @return true when the list was read and has not shown the back end for a while.
+  /// @return true if the list has been read and has not contained the back end for a while.
   bool IsGone(absl::Time now, const BackendName& name) const;
   /// @return configurations of the engines that `self` dispatches for.
   std::vector<dispatch::EngineConfig> DispatchedBy(NodeId self, const LiveMembers& live,
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -16,7 +16,7 @@
 constexpr char kLog[] = "daemon";
 constexpr absl::Duration kTick = absl::Milliseconds(10);
 constexpr char kStoreFolder[] = "/log";
-/// Bundles in force and the directory of groups.
+/// Active bundles and the group directory.
 constexpr char kItemsFile[] = "/items";
 
 leaf::error_id Failed(const std::string& detail) { return leaf::new_error(DaemonError{detail}); }
@@ -130,8 +130,8 @@
   }
   std::string failure = storage::ReplaceFile(settings_.data_dir + kItemsFile, wire::Seal(items));
   if (!failure.empty()) {
-    MARTENYARD_LOG_WARN(kLog, "Bundles and the directory of groups are not kept, "
-                                  << failure << "; the next start asks the key-value service.");
+    MARTENYARD_LOG_WARN(kLog, "Could not persist bundles and the group directory: "
+                                  << failure << "; the next start reads the key-value service.");
   }
 }
 
@@ -145,8 +145,8 @@
   }
   auto items = wire::Unseal<std::vector<spread::Item>>(*bytes);
   if (!items) {
-    MARTENYARD_LOG_WARN(kLog, "The file of bundles and of the directory of groups is damaged ("
-                                  << bytes->size() << " bytes); the key-value service is asked.");
+    MARTENYARD_LOG_WARN(kLog, "The file of bundles and the group directory is corrupt ("
+                                  << bytes->size() << " bytes); reading the key-value service.");
   }
   return items.value_or(std::vector<spread::Item>{});
 }
@@ -177,7 +177,7 @@
         },
         [](const storage::StorageError& error) { return error.detail; });
     if (!failure_.empty()) {
-      // What is on the disk is unknown now; a restart finds out, guessing would not.
+      // The stored state is unknown after a failed write; a restart reloads it.
       MARTENYARD_LOG_ERROR(kLog, "The log store failed: " << failure_);
       loop_.Stop();
     }
@@ -220,7 +220,7 @@
 
 void Daemon::CheckStop() {
   if (node_->MayExit()) {
-    // A call has ended once its answer is with the server; its caller has it only later.
+    // A call ends when its response is handed to the server, before the caller has received it.
     server_->StopListening();
     if (server_->unanswered() == 0) {
       loop_.Stop();
@@ -241,15 +241,15 @@
 void Daemon::OnFrame(const std::string& payload) {
   auto envelope = wire::Decode<Envelope>(payload);
   if (!envelope) {
-    MARTENYARD_LOG_WARN(kLog, "Dropped a frame that can't be read.");
+    MARTENYARD_LOG_WARN(kLog, "Dropped a frame that could not be decoded.");
     return;
   }
   node_->OnEnvelope(SteadyNow(), *envelope);
 }
 
 void Daemon::OnDatagram(const std::string& payload) {
-  // One that can't be read may come from anybody and is like a lost one, which membership expects;
-  // a line for each would let anybody fill the log.
+  // Undecodable datagrams are dropped without a log line: membership tolerates loss, and any sender
+  // could flood the log.
   if (auto packet = wire::Decode<membership::Packet>(payload)) {
     node_->OnPacket(SteadyNow(), *packet);
   }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-// A node on real sockets, disks and clocks: martenyardd's inside.
+// Runs a node on real sockets, disks and clocks; the implementation of martenyardd.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
 
 namespace martenyard::daemon {
 
-/// Why a daemon could not start, or had to stop: one line for the operator.
+/// Why a daemon failed to start or had to stop: one line for the operator.
 struct DaemonError {
   std::string detail;
 };
@@ -29,9 +29,9 @@
 
   /// Opens the store and the ports. Errors: DaemonError.
   Result<void> Start();
-  /// Runs until a planned stop is over. Errors: DaemonError, when the store failed.
+  /// Runs until a planned stop completes. Errors: DaemonError, when the store failed.
   Result<void> Run();
-  /// Begins a planned stop; thread-safe. A second call ends the process's work at once.
+  /// Begins a planned stop; a second call stops immediately. Thread-safe.
   void RequestStop();
   wire::Endpoint peer_endpoint() const { return peer_; }
   wire::Endpoint caller_endpoint() const { return callers_; }
--- a/src/daemon/group_log.cc
+++ b/src/daemon/group_log.cc
@@ -11,7 +11,7 @@
 
 std::string NameOf(NodeId node, const membership::Membership& membership) {
   if (node == kNoNode) {
-    return "nobody";
+    return "none";
   }
   const membership::MemberInfo* member = membership.FindIncludingDead(node);
   return member == nullptr ? "node " + std::to_string(node.value) : member->peer.ToString();
@@ -29,11 +29,12 @@
       continue;
     }
     known->second = now;
-    MARTENYARD_LOG_INFO(
-        kLog, "Group " << group.value << ", term " << now.term << ": led by "
-                       << (now.leads ? "this daemon" : NameOf(now.leader, membership)) << "; "
-                       << now.voters << " voters and " << now.learners
-                       << " learners are known here, the log reaches " << raft.last_index() << ".");
+    MARTENYARD_LOG_INFO(kLog, "Group "
+                                  << group.value << ", term " << now.term << ": leader "
+                                  << (now.leads ? "this daemon" : NameOf(now.leader, membership))
+                                  << "; " << now.voters << " voters and " << now.learners
+                                  << " learners in this replica's configuration, last log index "
+                                  << raft.last_index() << ".");
   }
 }
 
--- a/src/daemon/group_log.h
+++ b/src/daemon/group_log.h
@@ -1,4 +1,4 @@
-// Log lines about the groups replicated on one daemon: who leads, and what this replica knows.
+// Logs leadership and configuration changes of the groups replicated on one daemon.
 #pragma once
 
 #include <cstddef>
@@ -11,8 +11,8 @@
 
 namespace martenyard::daemon {
 
-/// Writes a line when a group's leadership or this replica's configuration changes; at most one a
-/// group for each call of `NoteChanges`.
+/// Logs a line when a group's leadership or this replica's configuration changes, at most one per
+/// group and call of `NoteChanges`.
 class GroupLog {
  public:
   void NoteChanges(const ReplicaHost& host, const membership::Membership& membership);
--- a/src/daemon/group_placement.cc
+++ b/src/daemon/group_placement.cc
@@ -19,8 +19,8 @@
   return StableHash({reinterpret_cast<const char*>(both), sizeof(both)});
 }
 
-/// @return the best member to add to `chosen`: a new zone first, then a durable one, then the
-/// least burdened, then the highest affinity.
+/// @return the best member to add to `chosen`, preferring a new zone, then a durable member, then
+/// the fewest replicas, then the highest affinity.
 const MemberInfo* PickMember(GroupId group, const std::vector<MemberInfo>& members,
                              const std::vector<MemberInfo>& chosen,
                              const std::map<NodeId, int>& burden) {
@@ -84,7 +84,7 @@
   auto is_gone = [&](NodeId node) { return views[node].gone; };
   Configuration next = present;
 
-  // A learner that is gone helps nobody.
+  // Drop failed learners first.
   auto gone_learner = std::find_if(next.learners.begin(), next.learners.end(), is_gone);
   if (gone_learner != next.learners.end()) {
     next.learners.erase(gone_learner);
@@ -109,7 +109,7 @@
     return next;
   }
   if (!next.learners.empty()) {
-    return std::nullopt;  // One is on its way.
+    return std::nullopt;  // A learner is still catching up.
   }
   std::vector<MemberInfo> kept;
   std::vector<MemberInfo> candidates;
--- a/src/daemon/group_placement.h
+++ b/src/daemon/group_placement.h
@@ -1,5 +1,5 @@
-// Where replicas go: the first placement of all groups, and the replacement of replicas that are
-// gone. Pure functions over a view of the members.
+// Replica placement: the initial placement of all groups and the replacement of failed replicas.
+// Pure functions over a view of the members.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,22 @@
 
 namespace martenyard::daemon {
 
-/// Places every group on `replicas` members: one a zone while zones last, durable members first,
-/// evenly. @return an empty list when there are too few members.
+/// Places every group on `replicas` members: spread over as many zones as possible, preferring
+/// durable members, with balanced load. @return an empty list when there are too few members.
 std::vector<consensus::Configuration> PlaceGroups(
     const std::vector<membership::MemberInfo>& members, int groups, int replicas);
 
-/// What is known of one member of a group.
+/// State of one member of a group.
 struct ReplicaView {
   NodeId node;
-  bool gone = false;       ///< Dead or leaving for longer than the limit.
-  bool caught_up = false;  ///< Its log is (nearly) the leader's.
+  bool gone = false;       ///< Dead for longer than the limit, or leaving without durable storage.
+  bool caught_up = false;  ///< Its log is close enough to the leader's to vote.
 };
 
-/// The next change to a group's configuration, if one is due: a learner for a gone voter, its
-/// promotion once it has caught up, then the removal of the gone.
+/// The next change to a group's configuration, if any: adding a learner to replace a gone voter,
+/// promoting it once it has caught up, then removing the gone voter.
 /// @param replicas views of all voters and learners.
-/// @param live members that may take a replica; the gone are not among them.
+/// @param live members eligible for a replica, without the gone ones.
 /// @param target number of voters the group should have.
 std::optional<consensus::Configuration> PlanChange(GroupId group,
                                                    const consensus::Configuration& present,
--- a/src/daemon/messages.h
+++ b/src/daemon/messages.h
@@ -1,4 +1,4 @@
-// Every message between daemons, in one envelope.
+// The envelope of all messages between daemons.
 #pragma once
 
 #include <variant>
@@ -31,7 +31,7 @@
 struct Envelope {
   NodeId from;
   wire::Endpoint from_endpoint;
-  NodeId to;  ///< A daemon in another life must not take it; kNoNode: whoever is there.
+  NodeId to;  ///< Other nodes at the endpoint ignore it; kNoNode: any node.
   PeerMessage body;
   template <class Archive>
   void serialize(Archive& archive) {
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -22,10 +22,10 @@
 constexpr std::size_t kReleasesPerRound = 32;
 constexpr absl::Duration kManageInterval = absl::Milliseconds(200);
 constexpr absl::Duration kSweepPatience = absl::Seconds(2);
-/// Election timeouts between the beginnings of two hand-overs of a group: twice as long as one of
-/// them may take.
+/// Minimum time between the starts of two leadership transfers of a group, in election timeouts:
+/// twice the maximum duration of a transfer.
 constexpr int kHandOverTimeouts = 6;
-/// A learner this close behind may vote: the rest reaches it while the change is on its way.
+/// Maximum number of entries a learner may lag behind and still be promoted to voter.
 constexpr consensus::LogIndex kCaughtUpEntries = 64;
 
 bool HasPrefix(const std::string& text, std::string_view prefix) {
@@ -80,7 +80,7 @@
 void Node::OnEnvelope(absl::Time now, const Envelope& envelope) {
   now_ = std::max(now_, now);
   if (envelope.to != kNoNode && envelope.to != Self()) {
-    return;  // Meant for an earlier life of this address.
+    return;  // Meant for a previous node at this address.
   }
   Handle(envelope.from, envelope.from_endpoint, envelope.body);
 }
@@ -188,7 +188,7 @@
     local_.push_back(std::move(envelope));
     return;
   }
-  // A member that is wrongly believed dead must still be reached by its group.
+  // A member wrongly declared dead must stay reachable for its group.
   if (const membership::MemberInfo* member = membership_.FindIncludingDead(to)) {
     environment_.SendFrame(member->peer, envelope);
   }
@@ -232,7 +232,7 @@
   }
   for (const membership::MemberInfo& member : before) {
     if (membership_.StatusOf(member.id) == membership::MemberStatus::kDead) {
-      MARTENYARD_LOG_INFO("membership", "Daemon " << member.peer.ToString() << " is gone.");
+      MARTENYARD_LOG_INFO("membership", "Daemon " << member.peer.ToString() << " is down.");
       router_.OnMemberRemoved(now_, member.id);
     }
   }
@@ -240,7 +240,7 @@
   RefreshEngines();
 }
 
-// ---- Spread items: the group directory and the bundles in force ----
+// ---- Gossiped items: the group directory and the active bundles ----
 
 bool Node::ValidateItem(const spread::Item& item) const {
   if (!HasPrefix(item.key, kRollItemPrefix)) {
@@ -294,11 +294,11 @@
 
 void Node::TakeKeptItems() {
   for (const spread::Item& item : environment_.KeptItems()) {
-    // As if a member had sent it: a roll's signature is checked, and the service may have a newer.
+    // Validated like an item received from a peer; the key-value service may have a newer one.
     if (ValidateItem(item)) {
       spread_.Publish(item, {});
     } else {
-      MARTENYARD_LOG_WARN(kLog, "The kept item " << item.key << " is not valid and passed over.");
+      MARTENYARD_LOG_WARN(kLog, "Ignored the invalid persisted item " << item.key << ".");
     }
   }
 }
@@ -319,7 +319,7 @@
       replica_host_.Found(now_, group, directory[index]);
     }
   }
-  MARTENYARD_LOG_INFO(kLog, "Groups are placed: " << directory.size() << ".");
+  MARTENYARD_LOG_INFO(kLog, "Placed groups: " << directory.size() << ".");
 }
 
 void Node::AdoptGroup(GroupId group, std::uint64_t version,
@@ -331,7 +331,7 @@
   directory_versions_[group] = version;
   directory_[group] = present;
   router_.SetReplicas(group, present.voters);
-  // A replica that was taken out of its group may never hear of it from the group itself.
+  // A replica removed from its group may never receive the configuration that removes it.
   ledger::GroupReplica* replica = replica_host_.Find(group);
   bool stale = replica != nullptr && version > 0 && !present.IsVoter(Self()) &&
                !present.IsLearner(Self()) && replica->raft().commit_index() <= version &&
@@ -385,7 +385,7 @@
     if (placed.empty()) {
       return;
     }
-    // Whoever writes first decides; every daemon then reads what is there.
+    // The first conditional write wins; every daemon then reads its result.
     environment_.KeyValueService().PutIf(kDirectoryKey, 0, wire::Encode(placed),
                                          [](const clients::KeyValueAnswer&) {});
   });
@@ -412,10 +412,10 @@
       end.age ? absl::StrCat(absl::ToInt64Milliseconds(*end.age), " ms ago") : "never";
   if (*end.contact) {
     MARTENYARD_LOG_INFO(
-        kLog, "The " << service << " answers again; the answer before came " << age << ".");
+        kLog, "The " << service << " is reachable again; its previous reply came " << age << ".");
   } else {
-    MARTENYARD_LOG_WARN(kLog, "The " << service << " does not answer; its last answer came " << age
-                                     << ", and what it told stays in use.");
+    MARTENYARD_LOG_WARN(kLog, "The " << service << " is unreachable; its last reply came " << age
+                                     << ", and its last data stays in use.");
   }
 }
 
@@ -473,7 +473,7 @@
                      membership_.DeadSince(member) + options_.replace_after <= now_ &&
                      raft.LastContact(member) + options_.replace_after <= now_;
     view.gone = member != Self() && dead_long;
-    // A leaving daemon without a data folder takes its replica's memory with it.
+    // A leaving daemon without a data directory loses its replica's state.
     const membership::MemberInfo* info = membership_.FindIncludingDead(member);
     bool volatile_leaver =
         status == membership::MemberStatus::kLeaving && info != nullptr && !info->durable;
@@ -532,7 +532,7 @@
   auto candidates = backends_.EnginesFor(Now(), partner, service, bundles_);
   std::map<BackendName, int> counts = coordinator_.CountByEngine();
   for (gateway::EngineCandidate& candidate : candidates) {
-    // Reports lag: what this daemon itself has there is known better.
+    // Load reports lag, so they are raised to this daemon's own count.
     int own = counts[candidate.backend.name];
     int reported = candidate.view.in_flight + candidate.view.queued;
     candidate.view.in_flight += std::max(0, own - reported);
@@ -554,7 +554,7 @@
   return spec == nullptr ? kDefaultPriority : spec->priority;
 }
 
-// ---- Contexts of programs that are gone ----
+// ---- Contexts of finished programs ----
 
 void Node::SendReleases() {
   for (const auto& [group, replica] : replica_host_.replicas()) {
@@ -627,7 +627,7 @@
     return;
   }
   stopping_ = true;
-  MARTENYARD_LOG_INFO(kLog, "Stopping: no new calls, handing over.");
+  MARTENYARD_LOG_INFO(kLog, "Stopping: rejecting new calls, transferring leaderships.");
   coordinator_.StopAdmitting();
   membership_.Leave();
   RefreshEngines();
@@ -641,10 +641,11 @@
     }
     HandOver& last = hand_overs_[group];
     if (raft.HandsOver()) {
-      raft.TransferLeadership(last.target);  // The order may have been lost.
+      raft.TransferLeadership(last.target);  // The previous message may have been lost.
       continue;
     }
-    // A target that did not take over may never do so; in between calls store their results.
+    // Pause between transfers, so that calls can store their results if a target fails to take
+    // over.
     if (now_ < last.begun + options_.group.raft.election_timeout * kHandOverTimeouts) {
       continue;
     }
@@ -653,11 +654,11 @@
       continue;
     }
     last = {successor, now_};
-    MARTENYARD_LOG_INFO(kLog, "Handing group "
-                                  << group.value << " over to "
+    MARTENYARD_LOG_INFO(kLog, "Transferring leadership of group "
+                                  << group.value << " to "
                                   << membership_.FindIncludingDead(successor)->peer.ToString()
-                                  << ", whose log reaches " << raft.MatchIndex(successor) << " of "
-                                  << raft.last_index() << ".");
+                                  << ", whose match index is " << raft.MatchIndex(successor)
+                                  << " of " << raft.last_index() << ".");
     raft.TransferLeadership(successor);
   }
 }
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -1,5 +1,5 @@
-// One daemon's decisions, all roles together, without I/O: the same code runs in martenyardd, in
-// the tests' simulator and in the hollow fleet.
+// Decision logic of one daemon, all roles together, without I/O: the same code runs in martenyardd,
+// in the tests' simulator and in the hollow fleet.
 #pragma once
 
 #include <cstdint>
@@ -30,7 +30,7 @@
 
 namespace martenyard::daemon {
 
-/// The world around a node.
+/// The I/O services a node uses.
 class NodeEnvironment {
  public:
   virtual ~NodeEnvironment() = default;
@@ -39,9 +39,9 @@
   virtual void SendDatagram(const wire::Endpoint& to, const membership::Packet& packet) = 0;
   virtual clients::KeyValue& KeyValueService() = 0;
   virtual clients::BackendClient& Backends() = 0;
-  /// Keeps the items on this daemon's disk, if it has one, in place of those before.
+  /// Persists the items to this daemon's disk, if it has one, replacing the previous ones.
   virtual void KeepItems(const std::vector<spread::Item>& items) = 0;
-  /// @return what an earlier life of this daemon kept.
+  /// @return the items persisted by a previous process of this daemon.
   virtual std::vector<spread::Item> KeptItems() = 0;
 };
 
@@ -71,16 +71,16 @@
   Node(membership::MemberInfo self, const NodeOptions& options, NodeEnvironment& environment,
        storage::LogStore& store, std::uint64_t seed, absl::Time now);
 
-  /// Starts what the store holds. Errors: the store's.
+  /// Starts the stored replicas. Errors: the store's.
   Result<void> Start(absl::Time now);
   void OnEnvelope(absl::Time now, const Envelope& envelope);
   void OnPacket(absl::Time now, const membership::Packet& packet);
-  /// A connection to the endpoint broke and a new one, tried at `checked_at`, was refused: its
-  /// process was dead then.
+  /// A connection to the endpoint broke and a reconnect at `checked_at` was refused: its process
+  /// was dead at that time.
   void OnEndpointDead(absl::Time now, const wire::Endpoint& endpoint, absl::Time checked_at);
   void Tick(absl::Time now);
-  /// Stores and sends what the calls above led to; call after each batch of them.
-  /// Errors: the store's: the daemon must then stop.
+  /// Stores and sends the effects of the calls above; call it after each batch of them.
+  /// Errors: the store's; the daemon must then stop.
   Result<void> Settle(absl::Time now);
 
   gateway::CallCoordinator& coordinator() { return coordinator_; }
@@ -92,14 +92,14 @@
   const NodeOptions& options() const { return options_; }
   /// True once the groups' replicas are known, so that calls can be served.
   bool IsReady() const { return !directory_.empty(); }
-  /// @return how many groups currently have a leader known here.
+  /// @return the number of local replicas that know their group's leader.
   int GroupsWithLeader() const;
 
-  /// Starts a planned stop: no new calls, leaderships and dispatchers handed over.
+  /// Starts a planned stop: rejects new calls, transfers leaderships and dispatching.
   void BeginStop(absl::Time now);
-  /// True when nothing would be cut by exiting now.
+  /// True when exiting now would interrupt nothing.
   bool MayExit() const;
-  /// @return what keeps a stop from ending, for the log; empty when nothing does.
+  /// @return what blocks the stop, for the log; empty when nothing does.
   std::string WhyNotExit() const;
 
   // CallHost:
@@ -123,7 +123,7 @@
     absl::Time next;
     void (Node::*run)();
   };
-  /// A hand-over of a group's leadership that a planned stop has begun.
+  /// A leadership transfer of a group, begun by a planned stop.
   struct HandOver {
     NodeId target = kNoNode;
     absl::Time begun = absl::InfinitePast();
@@ -140,7 +140,7 @@
   bool ValidateItem(const spread::Item& item) const;
   void TakeItem(const spread::Item& item);
   void OnRoll(const bundle::SignedRoll& roll);
-  /// Takes what this daemon kept: the service that has it may be away while all daemons start.
+  /// Loads the persisted items, as the key-value service may be unavailable while daemons start.
   void TakeKeptItems();
   void KeepItems();
   void AdoptDirectory(const std::vector<consensus::Configuration>& directory);
@@ -149,7 +149,7 @@
   bool WatchesKeyValue() const;
   void PollKeyValue();
   void PollMachines();
-  /// Logs that a polled service was lost or answers again.
+  /// Logs that a polled service became unreachable or reachable again.
   void TellContact(const char* service, const PollEnd& end);
   void ReportLoads();
   void ManageGroups();
@@ -160,10 +160,10 @@
                    const std::vector<clients::HeldContext>& contexts);
   void RefreshEngines();
   void HandOverLeaderships();
-  /// @return the voter to hand the group to: the one whose log reaches furthest, and another than
-  /// the last one tried if there is one; kNoNode when nobody else stays.
+  /// @return the voter to transfer leadership to: the one with the highest match index, preferring
+  /// one other than `last_tried`; kNoNode when no other voter is alive.
   NodeId SuccessorFor(const consensus::Raft& raft, NodeId last_tried) const;
-  /// True while the group would be left without its leader, or without this voter's memory.
+  /// True while the group would lose its leader or this voter's in-memory log.
   bool MustStayFor(const ledger::GroupReplica& replica) const;
 
   NodeOptions options_;
@@ -186,13 +186,13 @@
 
   std::vector<Periodic> periodics_;
   LiveMembers live_;
-  std::vector<NodeId> peers_;               // The live members but for this one.
-  std::map<GroupId, HandOver> hand_overs_;  // The last one of each group.
+  std::vector<NodeId> peers_;               // The live members except this one.
+  std::map<GroupId, HandOver> hand_overs_;  // The most recent one per group.
   std::uint64_t live_version_ = ~std::uint64_t{0};
   std::map<GroupId, consensus::Configuration> directory_;
   std::map<GroupId, std::uint64_t> directory_versions_;
   std::deque<Envelope> local_;
-  std::set<std::uint64_t> releasing_;  // Per group and order, hashed: on their way to an engine.
+  std::set<std::uint64_t> releasing_;  // Hashes of (group, order) of releases in flight.
   bool stopping_ = false;
 };
 
--- a/src/daemon/poll_tracker.cc
+++ b/src/daemon/poll_tracker.cc
@@ -10,7 +10,7 @@
     end.age = now - *answered_at_;
   }
   end.take = answered && poll > taken_;
-  // A late failure of an earlier poll says nothing of the service as it is now.
+  // A late failure of an earlier poll does not reflect the service's current state.
   bool newest = poll > std::max(taken_, failed_);
   if (answered) {
     taken_ = std::max(taken_, poll);
--- a/src/daemon/poll_tracker.h
+++ b/src/daemon/poll_tracker.h
@@ -1,5 +1,5 @@
-// Polls of a service whose answers may overtake each other or stay out. Decision code: no I/O, no
-// clock.
+// Tracks polls of a service whose replies can arrive out of order or not at all. Decision logic: no
+// I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -9,13 +9,13 @@
 
 namespace martenyard::daemon {
 
-/// What a poll's end means.
+/// Result of a completed poll.
 struct PollEnd {
-  /// The answer is newer than any taken before.
+  /// The reply is newer than any used before.
   bool take = false;
-  /// The service was lost (false) or answers again (true); nothing: as before.
+  /// Whether the service became reachable (true) or unreachable (false); empty if unchanged.
   std::optional<bool> contact;
-  /// Since the last poll that was answered began; nothing before the first.
+  /// Time since the last reply; empty before the first.
   std::optional<absl::Duration> age;
 };
 
@@ -23,13 +23,13 @@
  public:
   /// @return the poll's number, for `Ended`.
   std::uint64_t Begin() { return ++begun_; }
-  /// @param answered the service answered what was asked.
+  /// @param answered whether the service replied to the poll.
   PollEnd Ended(absl::Time now, std::uint64_t poll, bool answered);
 
  private:
   std::uint64_t begun_ = 0;
-  std::uint64_t taken_ = 0;   // The newest poll that was answered.
-  std::uint64_t failed_ = 0;  // The newest poll that was not.
+  std::uint64_t taken_ = 0;   // Number of the newest successful poll.
+  std::uint64_t failed_ = 0;  // Number of the newest failed poll.
   std::optional<bool> answers_;
   std::optional<absl::Time> answered_at_;
 };
--- a/src/daemon/replica_host.cc
+++ b/src/daemon/replica_host.cc
@@ -60,7 +60,7 @@
     return;
   }
   if (!replicas_.contains(message.group)) {
-    // Only a leader makes a daemon a replica; it starts without a vote and learns the log.
+    // Only a leader adds a replica; it starts as a non-voter and receives the log.
     bool from_leader = std::holds_alternative<consensus::AppendRequest>(message.message) ||
                        std::holds_alternative<consensus::SnapshotRequest>(message.message);
     if (!from_leader) {
--- a/src/daemon/replica_host.h
+++ b/src/daemon/replica_host.h
@@ -1,4 +1,4 @@
-// All group replicas of one daemon over one log store: one synced write for all groups a round.
+// All group replicas of one daemon on one log store, with one synced write per round.
 #pragma once
 
 #include <cstdint>
@@ -32,20 +32,20 @@
   ReplicaHost(NodeId self, const ledger::GroupOptions& options, storage::LogStore& store,
               std::uint64_t seed);
 
-  /// Starts the replicas that were stored. Errors: the store's.
+  /// Starts the stored replicas. Errors: the store's.
   Result<void> Restore(absl::Time now, const storage::StoredNode& stored);
-  /// Starts a replica as one of a new group's first voters. Ignored when the group is known here.
+  /// Creates a replica as an initial voter of a new group. Does nothing if the group is known.
   void Found(absl::Time now, GroupId group, const consensus::Configuration& configuration);
   void OnMessage(absl::Time now, NodeId from, const GroupMessage& message);
   /// @return false when this daemon has no replica of the group.
   bool OnRequest(absl::Time now, NodeId from, const ledger::LedgerRequest& request);
   void OnMemberDead(absl::Time now, NodeId member, absl::Time died_before);
   void Tick(absl::Time now);
-  /// Forgets a group whose committed configuration no longer names this daemon.
+  /// Removes a group whose committed configuration no longer contains this daemon.
   void Remove(GroupId group);
-  /// Stores, sends and applies until nothing is left to do.
-  /// @param send_early takes what may leave before the synced write: followers then write while
-  /// this daemon does.
+  /// Stores, sends and applies until no replica has work left.
+  /// @param send_early sends messages that need not wait for the synced write, so that followers
+  /// write in parallel with this daemon.
   /// Errors: the store's; then this host must not be used further.
   Result<HostEffects> Pump(const std::function<void(GroupMessageTo)>& send_early);
 
--- a/src/daemon/status.h
+++ b/src/daemon/status.h
@@ -1,4 +1,4 @@
-// What a daemon tells of itself: the status page for operators and the metrics.
+// A daemon's status page for operators and its metrics.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 /// @return members, groups and bundles as this daemon sees them, JSON.
 std::string DescribeStatus(const Node& node);
 
-/// @return counters and gauges in Prometheus' text format.
+/// @return counters and gauges in the Prometheus text format.
 std::string DescribeMetrics(Node& node, const wire::TransportStats& transport);
 
 }  // namespace martenyard::daemon
--- a/tests/daemon/group_placement_test.cc
+++ b/tests/daemon/group_placement_test.cc
@@ -24,7 +24,7 @@
   EXPECT_TRUE(PlaceGroups({Member(1, "a"), Member(2, "b")}, 4, 3).empty());
 }
 
-TEST(PlaceGroupsTest, OneReplicaAZoneAndDurableMembersFirst) {
+TEST(PlaceGroupsTest, SpreadsOverZonesAndPrefersDurableMembers) {
   std::vector<MemberInfo> members{Member(1, "a"), Member(2, "a", true), Member(3, "b"),
                                   Member(4, "c"), Member(5, "c", true)};
   for (const Configuration& group : PlaceGroups(members, 8, 3)) {
@@ -34,7 +34,7 @@
   }
 }
 
-TEST(PlaceGroupsTest, BurdenIsEven) {
+TEST(PlaceGroupsTest, LoadIsBalanced) {
   std::vector<MemberInfo> members;
   for (std::uint64_t id = 1; id <= 30; ++id) {
     members.push_back(Member(id, "zone-" + std::to_string(id % 3)));
@@ -50,15 +50,15 @@
   }
 }
 
-TEST(PlanChangeTest, HealthyGroupStaysAsItIs) {
+TEST(PlanChangeTest, HealthyGroupIsUnchanged) {
   Configuration present{{NodeId(1), NodeId(2), NodeId(3)}, {}};
   std::vector<ReplicaView> views{{NodeId(1)}, {NodeId(2)}, {NodeId(3)}};
   EXPECT_FALSE(PlanChange(GroupId(0), present, views, {Member(4, "d")}, 3).has_value());
 }
 
-// Whatever is gone at the start, the planned changes lead to a full healthy group, one voter at a
-// time and never through a configuration whose live voters are no quorum.
-RC_GTEST_PROP(PlanChangePropertyTest, GoneReplicasAreReplacedStepByStep, ()) {
+// With any replica failed, the planned changes must restore a full healthy group one voter at a
+// time, without passing through a configuration whose live voters are not a quorum.
+RC_GTEST_PROP(PlanChangePropertyTest, FailedReplicasAreReplacedOneByOne, ()) {
   std::set<std::uint64_t> gone;
   if (*rc::gen::arbitrary<bool>()) {
     gone.insert(*rc::gen::inRange<std::uint64_t>(1, 4));
@@ -86,7 +86,7 @@
     }
     present = *next;
   }
-  RC_FAIL("the group never became whole");
+  RC_FAIL("the group was not restored to full health within 20 changes");
 }
 
 }  // namespace
--- a/tests/daemon/poll_tracker_test.cc
+++ b/tests/daemon/poll_tracker_test.cc
@@ -9,9 +9,9 @@
 
 absl::Time At(int seconds) { return kStart + absl::Seconds(seconds); }
 
-// A poll each second may wait for its answer for two: an engine that leaves came back into the list
-// for a second where the answer of the poll before arrived last.
-TEST(PollTrackerTest, AnswerOfAnEarlierPollIsNotTakenAfterALaterOnes) {
+// A late reply to an earlier poll must not overwrite a newer one, which would bring an engine that
+// left back into the list.
+TEST(PollTrackerTest, ReplyToAnEarlierPollIsIgnoredAfterALaterOne) {
   PollTracker polls;
   std::uint64_t first = polls.Begin();
   std::uint64_t second = polls.Begin();
@@ -20,9 +20,10 @@
   EXPECT_TRUE(polls.Ended(At(3), polls.Begin(), true).take);
 }
 
-TEST(PollTrackerTest, LossAndReturnAreToldOnceWithTheAgeOfTheLastAnswer) {
+TEST(PollTrackerTest, OutageAndRecoveryAreReportedOnceWithTheAgeOfTheLastReply) {
   PollTracker polls;
-  EXPECT_FALSE(polls.Ended(At(0), polls.Begin(), true).contact) << "as it should be";
+  EXPECT_FALSE(polls.Ended(At(0), polls.Begin(), true).contact)
+      << "initially reachable, so no change is reported";
   PollEnd lost = polls.Ended(At(3), polls.Begin(), false);
   EXPECT_EQ(lost.contact, false);
   EXPECT_EQ(lost.age, absl::Seconds(3));
@@ -33,14 +34,14 @@
   EXPECT_EQ(back.age, absl::Seconds(5));
 }
 
-TEST(PollTrackerTest, ServiceThatNeverAnsweredIsToldToo) {
+TEST(PollTrackerTest, ServiceThatNeverRepliedIsReportedUnreachable) {
   PollTracker polls;
   PollEnd end = polls.Ended(At(2), polls.Begin(), false);
   EXPECT_EQ(end.contact, false);
   EXPECT_FALSE(end.age);
 }
 
-TEST(PollTrackerTest, LateFailureOfAnEarlierPollIsNoLoss) {
+TEST(PollTrackerTest, LateFailureOfAnEarlierPollIsNotAnOutage) {
   PollTracker polls;
   std::uint64_t first = polls.Begin();
   std::uint64_t second = polls.Begin();
