--- a/src/daemon/backend_view.cc
+++ b/src/daemon/backend_view.cc
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr absl::Duration kGoneAfter = absl::Seconds(30);
-constexpr absl::Duration kLeavingMemory = absl::Seconds(30);
+constexpr absl::Duration kLeavingHold = absl::Seconds(30);
 /// Older load reports are ignored in favour of the gateway's own counts.
 constexpr absl::Duration kLoadLifetime = absl::Seconds(3);
 
@@ -66,7 +66,7 @@
 }
 
 void BackendView::MarkLeaving(absl::Time now, const BackendName& engine) {
-  leaving_until_[engine] = now + kLeavingMemory;
+  leaving_until_[engine] = now + kLeavingHold;
 }
 
 bool BackendView::IsLeaving(absl::Time now, const clients::Backend& backend) const {
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -34,7 +34,7 @@
 Result<void> Daemon::Start() {
   BOOST_LEAF_AUTO(store, OpenStore());
   store_ = std::move(store);
-  BOOST_LEAF_AUTO(identity, TakeIdentity());
+  BOOST_LEAF_AUTO(identity, LoadOrCreateIdentity());
 
   transport_ = std::make_unique<wire::Transport>(
       loop_, [this](const std::string& payload) { OnFrame(payload); },
@@ -86,7 +86,7 @@
       });
 }
 
-Result<NodeId> Daemon::TakeIdentity() {
+Result<NodeId> Daemon::LoadOrCreateIdentity() {
   return TranslateError<storage::StorageError>(
       [&]() -> Result<NodeId> {
         BOOST_LEAF_AUTO(stored, store_->Load());
@@ -124,7 +124,7 @@
   return options;
 }
 
-void Daemon::KeepItems(const std::vector<spread::Item>& items) {
+void Daemon::PersistItems(const std::vector<spread::Item>& items) {
   if (settings_.data_dir.empty()) {
     return;
   }
@@ -135,7 +135,7 @@
   }
 }
 
-std::vector<spread::Item> Daemon::KeptItems() {
+std::vector<spread::Item> Daemon::PersistedItems() {
   std::optional<std::string> bytes;
   if (!settings_.data_dir.empty()) {
     bytes = storage::ReadSmallFile(settings_.data_dir + kItemsFile);
@@ -219,7 +219,7 @@
 }
 
 void Daemon::CheckStop() {
-  if (node_->MayExit()) {
+  if (node_->CanExit()) {
     // A call ends when its response is handed to the server, before the caller has received it.
     server_->StopListening();
     if (server_->unanswered() == 0) {
@@ -228,7 +228,7 @@
     }
   }
   if (SteadyNow() >= stop_deadline_) {
-    std::string waits = node_->WhyNotExit();
+    std::string waits = node_->StopBlockers();
     MARTENYARD_LOG_WARN(kLog, "The stop limit is over; " << (waits.empty() ? "" : waits + ", ")
                                                          << server_->unanswered()
                                                          << " requests without a whole answer.");
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -38,7 +38,7 @@
 
  private:
   Result<std::unique_ptr<storage::LogStore>> OpenStore();
-  Result<NodeId> TakeIdentity();
+  Result<NodeId> LoadOrCreateIdentity();
   NodeOptions MakeOptions() const;
   void StartNode(NodeId identity);
   void OnHttp(http::Request request, std::shared_ptr<http::Responder> responder);
@@ -53,8 +53,8 @@
   void SendDatagram(const wire::Endpoint& to, const membership::Packet& packet) override;
   clients::KeyValue& KeyValueService() override { return *key_value_; }
   clients::BackendClient& Backends() override { return *backends_; }
-  void KeepItems(const std::vector<spread::Item>& items) override;
-  std::vector<spread::Item> KeptItems() override;
+  void PersistItems(const std::vector<spread::Item>& items) override;
+  std::vector<spread::Item> PersistedItems() override;
 
   settings::Settings settings_;
   wire::EventLoop loop_;
--- a/src/daemon/group_log.cc
+++ b/src/daemon/group_log.cc
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void GroupLog::NoteChanges(const ReplicaHost& host, const membership::Membership& membership) {
+void GroupLog::LogChanges(const ReplicaHost& host, const membership::Membership& membership) {
   for (const auto& [group, replica] : host.replicas()) {
     const consensus::Raft& raft = replica->raft();
     Seen now{raft.term(), raft.leader(), raft.IsLeader(), raft.configuration().voters.size(),
--- a/src/daemon/group_log.h
+++ b/src/daemon/group_log.h
@@ -12,10 +12,10 @@
 namespace martenyard::daemon {
 
 /// Logs a line when a group's leadership or this replica's configuration changes, at most one per
-/// group and call of `NoteChanges`.
+/// group and call of `LogChanges`.
 class GroupLog {
  public:
-  void NoteChanges(const ReplicaHost& host, const membership::Membership& membership);
+  void LogChanges(const ReplicaHost& host, const membership::Membership& membership);
 
  private:
   struct Seen {
--- a/src/daemon/group_placement.cc
+++ b/src/daemon/group_placement.cc
@@ -23,7 +23,7 @@
 /// the fewest replicas, then the highest affinity.
 const MemberInfo* PickMember(GroupId group, const std::vector<MemberInfo>& members,
                              const std::vector<MemberInfo>& chosen,
-                             const std::map<NodeId, int>& burden) {
+                             const std::map<NodeId, int>& replica_counts) {
   using Rank = std::tuple<int, int, int, std::uint64_t>;
   const MemberInfo* best = nullptr;
   Rank best_rank;
@@ -37,9 +37,9 @@
         static_cast<int>(std::count_if(chosen.begin(), chosen.end(), [&](const MemberInfo& other) {
           return other.zone == member.zone;
         }));
-    auto carried = burden.find(member.id);
-    Rank rank{in_zone, member.durable ? 0 : 1, carried == burden.end() ? 0 : carried->second,
-              Affinity(group, member.id)};
+    auto carried = replica_counts.find(member.id);
+    Rank rank{in_zone, member.durable ? 0 : 1,
+              carried == replica_counts.end() ? 0 : carried->second, Affinity(group, member.id)};
     if (best == nullptr || rank < best_rank) {
       best = &member;
       best_rank = rank;
@@ -56,14 +56,14 @@
   if (members.size() < static_cast<std::size_t>(replicas)) {
     return placed;
   }
-  std::map<NodeId, int> burden;
+  std::map<NodeId, int> replica_counts;
   for (int index = 0; index < groups; ++index) {
     GroupId group(static_cast<std::uint32_t>(index));
     std::vector<MemberInfo> chosen;
     for (int replica = 0; replica < replicas; ++replica) {
-      const MemberInfo* member = PickMember(group, members, chosen, burden);
+      const MemberInfo* member = PickMember(group, members, chosen, replica_counts);
       chosen.push_back(*member);
-      ++burden[member->id];
+      ++replica_counts[member->id];
     }
     Configuration configuration;
     for (const MemberInfo& member : chosen) {
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -21,10 +21,10 @@
 constexpr std::size_t kLoadReportTargets = 16;
 constexpr std::size_t kReleasesPerRound = 32;
 constexpr absl::Duration kManageInterval = absl::Milliseconds(200);
-constexpr absl::Duration kSweepPatience = absl::Seconds(2);
+constexpr absl::Duration kSweepTimeout = absl::Seconds(2);
 /// Minimum time between the starts of two leadership transfers of a group, in election timeouts:
 /// twice the maximum duration of a transfer.
-constexpr int kHandOverTimeouts = 6;
+constexpr int kTransferPauseTimeouts = 6;
 /// Maximum number of entries a learner may lag behind and still be promoted to voter.
 constexpr consensus::LogIndex kCaughtUpEntries = 64;
 
@@ -71,7 +71,7 @@
 Result<void> Node::Start(absl::Time now) {
   now_ = now;
   BOOST_LEAF_AUTO(stored, store_.Load());
-  TakeKeptItems();
+  LoadPersistedItems();
   return replica_host_.Restore(now, stored);
 }
 
@@ -96,7 +96,7 @@
   if (!dead) {
     return;
   }
-  replica_host_.OnMemberDead(now_, *dead, checked_at);
+  replica_host_.OnMemberDown(now_, *dead, checked_at);
   OnMembersChanged();
 }
 
@@ -111,7 +111,7 @@
   router_.Tick(now_);
   dispatcher_.Tick(now_);
   coordinator_.Tick();
-  group_log_.NoteChanges(replica_host_, membership_);
+  group_log_.LogChanges(replica_host_, membership_);
   for (Periodic& periodic : periodics_) {
     if (now_ >= periodic.next) {
       periodic.next = now_ + periodic.interval * (0.9 + 0.2 * random_.Uniform());
@@ -132,10 +132,10 @@
     for (dispatch::OutgoingPermitUpdate& news : dispatcher_.TakeUpdates()) {
       Send(news.to, std::move(news.update));
     }
-    BOOST_LEAF_AUTO(effects, replica_host_.Pump([this](GroupMessageTo message) {
+    BOOST_LEAF_AUTO(effects, replica_host_.Pump([this](OutgoingGroupMessage message) {
       Send(message.to, std::move(message.message));
     }));
-    for (GroupMessageTo& message : effects.messages) {
+    for (OutgoingGroupMessage& message : effects.messages) {
       Send(message.to, std::move(message.message));
     }
     for (ledger::ReplyTo& reply : effects.replies) {
@@ -211,10 +211,10 @@
   }
   std::vector<spread::Item> changes = spread_.TakeChanges();
   for (const spread::Item& item : changes) {
-    TakeItem(item);
+    ApplyItem(item);
   }
   if (!changes.empty()) {
-    KeepItems();
+    PersistItems();
   }
 }
 
@@ -247,9 +247,9 @@
     return item.key == kDirectoryItem || HasPrefix(item.key, kGroupItemPrefix);
   }
   auto roll = wire::Decode<bundle::SignedRoll>(item.value);
-  bool named_right = roll && item.key == kRollItemPrefix + roll->statement.partner.value &&
+  bool key_matches = roll && item.key == kRollItemPrefix + roll->statement.partner.value &&
                      item.version == roll->statement.epoch;
-  return named_right && Recover<bundle::BundleError>(
+  return key_matches && Recover<bundle::BundleError>(
                             [&]() -> Result<bool> {
                               BOOST_LEAF_CHECK(bundle::VerifyRoll(bundles_.partners(), *roll));
                               return true;
@@ -257,7 +257,7 @@
                             [](const bundle::BundleError&) { return false; });
 }
 
-void Node::TakeItem(const spread::Item& item) {
+void Node::ApplyItem(const spread::Item& item) {
   if (item.key == kDirectoryItem) {
     if (auto directory = wire::Decode<std::vector<consensus::Configuration>>(item.value)) {
       AdoptDirectory(*directory);
@@ -292,8 +292,8 @@
   }
 }
 
-void Node::TakeKeptItems() {
-  for (const spread::Item& item : environment_.KeptItems()) {
+void Node::LoadPersistedItems() {
+  for (const spread::Item& item : environment_.PersistedItems()) {
     // Validated like an item received from a peer; the key-value service may have a newer one.
     if (ValidateItem(item)) {
       spread_.Publish(item, {});
@@ -303,12 +303,12 @@
   }
 }
 
-void Node::KeepItems() {
+void Node::PersistItems() {
   std::vector<spread::Item> items;
   for (const auto& [key, item] : spread_.items()) {
     items.push_back(item);
   }
-  environment_.KeepItems(items);
+  environment_.PersistItems(items);
 }
 
 void Node::AdoptDirectory(const std::vector<consensus::Configuration>& directory) {
@@ -316,7 +316,7 @@
     GroupId group(static_cast<std::uint32_t>(index));
     AdoptGroup(group, 0, directory[index]);
     if (directory[index].IsVoter(Self())) {
-      replica_host_.Found(now_, group, directory[index]);
+      replica_host_.CreateInitialReplica(now_, group, directory[index]);
     }
   }
   MARTENYARD_LOG_INFO(kLog, "Placed groups: " << directory.size() << ".");
@@ -365,7 +365,7 @@
     return;
   }
   rolls_.Poll([this, poll = key_value_polls_.Begin()](bool answered) {
-    TellContact("key-value service", key_value_polls_.Ended(Now(), poll, answered));
+    LogReachability("key-value service", key_value_polls_.Ended(Now(), poll, answered));
   });
   if (!directory_.empty()) {
     return;
@@ -396,21 +396,21 @@
   environment_.Backends().FetchMachines(
       [this, poll](std::optional<std::vector<clients::Backend>> machines) {
         PollEnd end = machine_polls_.Ended(Now(), poll, machines.has_value());
-        TellContact("machine list", end);
-        if (end.take) {
+        LogReachability("machine list", end);
+        if (end.is_newest) {
           backends_.SetMachines(Now(), std::move(*machines));
           RefreshEngines();
         }
       });
 }
 
-void Node::TellContact(const char* service, const PollEnd& end) {
-  if (!end.contact) {
+void Node::LogReachability(const char* service, const PollEnd& end) {
+  if (!end.reachable) {
     return;
   }
   std::string age =
       end.age ? absl::StrCat(absl::ToInt64Milliseconds(*end.age), " ms ago") : "never";
-  if (*end.contact) {
+  if (*end.reachable) {
     MARTENYARD_LOG_INFO(
         kLog, "The " << service << " is reachable again; its previous reply came " << age << ".");
   } else {
@@ -448,7 +448,7 @@
     }
   }
   if (stopping_) {
-    HandOverLeaderships();
+    TransferLeaderships();
   }
 }
 
@@ -469,15 +469,15 @@
     ReplicaView view;
     view.node = member;
     membership::MemberStatus status = membership_.StatusOf(member);
-    bool dead_long = status == membership::MemberStatus::kDead &&
-                     membership_.DeadSince(member) + options_.replace_after <= now_ &&
-                     raft.LastContact(member) + options_.replace_after <= now_;
-    view.gone = member != Self() && dead_long;
+    bool dead_beyond_limit = status == membership::MemberStatus::kDead &&
+                             membership_.DeadSince(member) + options_.replace_after <= now_ &&
+                             raft.LastContact(member) + options_.replace_after <= now_;
+    view.gone = member != Self() && dead_beyond_limit;
     // A leaving daemon without a data directory loses its replica's state.
     const membership::MemberInfo* info = membership_.FindIncludingDead(member);
-    bool volatile_leaver =
+    bool leaving_without_storage =
         status == membership::MemberStatus::kLeaving && info != nullptr && !info->durable;
-    view.gone = view.gone || volatile_leaver;
+    view.gone = view.gone || leaving_without_storage;
     view.caught_up = raft.MatchIndex(member) + kCaughtUpEntries >= raft.last_index();
     views.push_back(view);
   }
@@ -607,7 +607,7 @@
     by_group[GroupOf(program)].programs.push_back(program);
   }
   for (auto& [group, check] : by_group) {
-    SendLedgerRequest(group, std::move(check), Now() + kSweepPatience,
+    SendLedgerRequest(group, std::move(check), Now() + kSweepTimeout,
                       [this, url = engine.url](const gateway::LedgerResult& answer) {
                         if (answer.status != gateway::LedgerResult::Status::kAnswered) {
                           return;
@@ -633,20 +633,20 @@
   RefreshEngines();
 }
 
-void Node::HandOverLeaderships() {
+void Node::TransferLeaderships() {
   for (const auto& [group, replica] : replica_host_.replicas()) {
     consensus::Raft& raft = replica->raft();
     if (!raft.IsLeader()) {
       continue;
     }
-    HandOver& last = hand_overs_[group];
+    LeadershipTransfer& last = leadership_transfers_[group];
     if (raft.HandsOver()) {
       raft.TransferLeadership(last.target);  // The previous message may have been lost.
       continue;
     }
     // Pause between transfers, so that calls can store their results if a target fails to take
     // over.
-    if (now_ < last.begun + options_.group.raft.election_timeout * kHandOverTimeouts) {
+    if (now_ < last.begun + options_.group.raft.election_timeout * kTransferPauseTimeouts) {
       continue;
     }
     NodeId successor = SuccessorFor(raft, last.target);
@@ -677,15 +677,15 @@
 
 bool Node::MustStayFor(const ledger::GroupReplica& replica) const {
   const consensus::Configuration& configuration = replica.raft().configuration();
-  bool can_hand_over = live_.all.size() >= 2;
-  if (replica.raft().IsLeader() && can_hand_over && configuration.voters.size() > 1) {
+  bool can_transfer = live_.all.size() >= 2;
+  if (replica.raft().IsLeader() && can_transfer && configuration.voters.size() > 1) {
     return true;
   }
   bool replacement_exists = live_.all.size() >= static_cast<std::size_t>(options_.replicas);
   return !store_.IsDurable() && replacement_exists && configuration.IsVoter(Self());
 }
 
-bool Node::MayExit() const {
+bool Node::CanExit() const {
   if (coordinator_.active() > 0) {
     return false;
   }
@@ -694,7 +694,7 @@
                       [this](const auto& entry) { return MustStayFor(*entry.second); });
 }
 
-std::string Node::WhyNotExit() const {
+std::string Node::StopBlockers() const {
   std::vector<std::string> reasons;
   if (coordinator_.active() > 0) {
     reasons.push_back(absl::StrCat(coordinator_.active(), " calls under way"));
--- a/src/daemon/node.h
+++ b/src/daemon/node.h
@@ -40,9 +40,9 @@
   virtual clients::KeyValue& KeyValueService() = 0;
   virtual clients::BackendClient& Backends() = 0;
   /// Persists the items to this daemon's disk, if it has one, replacing the previous ones.
-  virtual void KeepItems(const std::vector<spread::Item>& items) = 0;
+  virtual void PersistItems(const std::vector<spread::Item>& items) = 0;
   /// @return the items persisted by a previous process of this daemon.
-  virtual std::vector<spread::Item> KeptItems() = 0;
+  virtual std::vector<spread::Item> PersistedItems() = 0;
 };
 
 struct NodeOptions {
@@ -98,9 +98,9 @@
   /// Starts a planned stop: rejects new calls, transfers leaderships and dispatching.
   void BeginStop(absl::Time now);
   /// True when exiting now would interrupt nothing.
-  bool MayExit() const;
+  bool CanExit() const;
   /// @return what blocks the stop, for the log; empty when nothing does.
-  std::string WhyNotExit() const;
+  std::string StopBlockers() const;
 
   // CallHost:
   absl::Time Now() const override { return environment_.Now(); }
@@ -124,7 +124,7 @@
     void (Node::*run)();
   };
   /// A leadership transfer of a group, begun by a planned stop.
-  struct HandOver {
+  struct LeadershipTransfer {
     NodeId target = kNoNode;
     absl::Time begun = absl::InfinitePast();
   };
@@ -138,11 +138,11 @@
   const std::vector<NodeId>& Peers() const { return peers_; }
 
   bool ValidateItem(const spread::Item& item) const;
-  void TakeItem(const spread::Item& item);
+  void ApplyItem(const spread::Item& item);
   void OnRoll(const bundle::SignedRoll& roll);
   /// Loads the persisted items, as the key-value service may be unavailable while daemons start.
-  void TakeKeptItems();
-  void KeepItems();
+  void LoadPersistedItems();
+  void PersistItems();
   void AdoptDirectory(const std::vector<consensus::Configuration>& directory);
   void AdoptGroup(GroupId group, std::uint64_t version, const consensus::Configuration& present);
 
@@ -150,7 +150,7 @@
   void PollKeyValue();
   void PollMachines();
   /// Logs that a polled service became unreachable or reachable again.
-  void TellContact(const char* service, const PollEnd& end);
+  void LogReachability(const char* service, const PollEnd& end);
   void ReportLoads();
   void ManageGroups();
   void ManageGroup(ledger::GroupReplica& replica);
@@ -159,7 +159,7 @@
   void SweepEngine(const clients::Backend& engine,
                    const std::vector<clients::HeldContext>& contexts);
   void RefreshEngines();
-  void HandOverLeaderships();
+  void TransferLeaderships();
   /// @return the voter to transfer leadership to: the one with the highest match index, preferring
   /// one other than `last_tried`; kNoNode when no other voter is alive.
   NodeId SuccessorFor(const consensus::Raft& raft, NodeId last_tried) const;
@@ -186,8 +186,8 @@
 
   std::vector<Periodic> periodics_;
   LiveMembers live_;
-  std::vector<NodeId> peers_;               // The live members except this one.
-  std::map<GroupId, HandOver> hand_overs_;  // The most recent one per group.
+  std::vector<NodeId> peers_;                                   // The live members except this one.
+  std::map<GroupId, LeadershipTransfer> leadership_transfers_;  // The most recent one per group.
   std::uint64_t live_version_ = ~std::uint64_t{0};
   std::map<GroupId, consensus::Configuration> directory_;
   std::map<GroupId, std::uint64_t> directory_versions_;
--- a/src/daemon/poll_tracker.cc
+++ b/src/daemon/poll_tracker.cc
@@ -9,7 +9,7 @@
   if (answered_at_) {
     end.age = now - *answered_at_;
   }
-  end.take = answered && poll > taken_;
+  end.is_newest = answered && poll > taken_;
   // A late failure of an earlier poll does not reflect the service's current state.
   bool newest = poll > std::max(taken_, failed_);
   if (answered) {
@@ -18,10 +18,10 @@
   } else {
     failed_ = std::max(failed_, poll);
   }
-  if (newest && answers_ != answered) {
-    bool first_and_well = !answers_ && answered;
-    answers_ = answered;
-    end.contact = first_and_well ? std::nullopt : std::make_optional(answered);
+  if (newest && reachable_ != answered) {
+    bool initially_reachable = !reachable_ && answered;
+    reachable_ = answered;
+    end.reachable = initially_reachable ? std::nullopt : std::make_optional(answered);
   }
   return end;
 }
--- a/src/daemon/poll_tracker.h
+++ b/src/daemon/poll_tracker.h
@@ -12,9 +12,9 @@
 /// Result of a completed poll.
 struct PollEnd {
   /// The reply is newer than any used before.
-  bool take = false;
+  bool is_newest = false;
   /// Whether the service became reachable (true) or unreachable (false); empty if unchanged.
-  std::optional<bool> contact;
+  std::optional<bool> reachable;
   /// Time since the last reply; empty before the first.
   std::optional<absl::Duration> age;
 };
@@ -30,7 +30,7 @@
   std::uint64_t begun_ = 0;
   std::uint64_t taken_ = 0;   // Number of the newest successful poll.
   std::uint64_t failed_ = 0;  // Number of the newest failed poll.
-  std::optional<bool> answers_;
+  std::optional<bool> reachable_;
   std::optional<absl::Time> answered_at_;
 };
 
--- a/src/daemon/replica_host.cc
+++ b/src/daemon/replica_host.cc
@@ -13,7 +13,7 @@
 }
 
 void AddMessages(GroupId group, std::vector<consensus::Outbound>& from,
-                 std::vector<GroupMessageTo>& to) {
+                 std::vector<OutgoingGroupMessage>& to) {
   for (consensus::Outbound& outbound : from) {
     to.push_back({outbound.to, GroupMessage{group, std::move(outbound.message)}});
   }
@@ -41,8 +41,8 @@
       group, self_, options_, std::move(restored), random_.NextId(), now);
 }
 
-void ReplicaHost::Found(absl::Time now, GroupId group,
-                        const consensus::Configuration& configuration) {
+void ReplicaHost::CreateInitialReplica(absl::Time now, GroupId group,
+                                       const consensus::Configuration& configuration) {
   if (replicas_.contains(group) || removed_.contains(group)) {
     return;
   }
@@ -80,7 +80,7 @@
   return true;
 }
 
-void ReplicaHost::OnMemberDead(absl::Time now, NodeId member, absl::Time died_before) {
+void ReplicaHost::OnMemberDown(absl::Time now, NodeId member, absl::Time died_before) {
   for (auto& [group, replica] : replicas_) {
     replica->OnMemberDead(now, member, died_before);
   }
@@ -108,7 +108,7 @@
   return found == replicas_.end() ? nullptr : found->second.get();
 }
 
-Result<HostEffects> ReplicaHost::Pump(const std::function<void(GroupMessageTo)>& send_early) {
+Result<HostEffects> ReplicaHost::Pump(const std::function<void(OutgoingGroupMessage)>& send_early) {
   HostEffects effects;
   bool busy = true;
   while (busy) {
@@ -121,7 +121,7 @@
   return effects;
 }
 
-Result<void> ReplicaHost::PumpRound(const std::function<void(GroupMessageTo)>& send_early,
+Result<void> ReplicaHost::PumpRound(const std::function<void(OutgoingGroupMessage)>& send_early,
                                     HostEffects& effects) {
   std::vector<std::pair<ledger::GroupReplica*, consensus::Ready>> readies;
   std::vector<storage::GroupWrite> writes = std::move(pending_writes_);
--- a/src/daemon/replica_host.h
+++ b/src/daemon/replica_host.h
@@ -17,13 +17,13 @@
 
 namespace martenyard::daemon {
 
-struct GroupMessageTo {
+struct OutgoingGroupMessage {
   NodeId to;
   GroupMessage message;
 };
 
 struct HostEffects {
-  std::vector<GroupMessageTo> messages;
+  std::vector<OutgoingGroupMessage> messages;
   std::vector<ledger::ReplyTo> replies;
 };
 
@@ -35,11 +35,12 @@
   /// Starts the stored replicas. Errors: the store's.
   Result<void> Restore(absl::Time now, const storage::StoredNode& stored);
   /// Creates a replica as an initial voter of a new group. Does nothing if the group is known.
-  void Found(absl::Time now, GroupId group, const consensus::Configuration& configuration);
+  void CreateInitialReplica(absl::Time now, GroupId group,
+                            const consensus::Configuration& configuration);
   void OnMessage(absl::Time now, NodeId from, const GroupMessage& message);
   /// @return false when this daemon has no replica of the group.
   bool OnRequest(absl::Time now, NodeId from, const ledger::LedgerRequest& request);
-  void OnMemberDead(absl::Time now, NodeId member, absl::Time died_before);
+  void OnMemberDown(absl::Time now, NodeId member, absl::Time died_before);
   void Tick(absl::Time now);
   /// Removes a group whose committed configuration no longer contains this daemon.
   void Remove(GroupId group);
@@ -47,7 +48,7 @@
   /// @param send_early sends messages that need not wait for the synced write, so that followers
   /// write in parallel with this daemon.
   /// Errors: the store's; then this host must not be used further.
-  Result<HostEffects> Pump(const std::function<void(GroupMessageTo)>& send_early);
+  Result<HostEffects> Pump(const std::function<void(OutgoingGroupMessage)>& send_early);
 
   const std::map<GroupId, std::unique_ptr<ledger::GroupReplica>>& replicas() const {
     return replicas_;
@@ -57,7 +58,7 @@
 
  private:
   void Add(absl::Time now, GroupId group, consensus::RestoredState restored);
-  Result<void> PumpRound(const std::function<void(GroupMessageTo)>& send_early,
+  Result<void> PumpRound(const std::function<void(OutgoingGroupMessage)>& send_early,
                          HostEffects& effects);
 
   NodeId self_;
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -49,12 +49,14 @@
 
   clients::KeyValue& KeyValueService() override { return *key_value_; }
   clients::BackendClient& Backends() override { return *backends_; }
-  void KeepItems(const std::vector<spread::Item>& items) override {
+  void PersistItems(const std::vector<spread::Item>& items) override {
     if (world_.daemons_[index_].durable) {
-      world_.daemons_[index_].kept_items = items;
+      world_.daemons_[index_].persisted_items = items;
     }
   }
-  std::vector<spread::Item> KeptItems() override { return world_.daemons_[index_].kept_items; }
+  std::vector<spread::Item> PersistedItems() override {
+    return world_.daemons_[index_].persisted_items;
+  }
 
  private:
   World& world_;
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -86,7 +86,7 @@
     daemon::NodeOptions options;
     NodeId identity;
     std::unique_ptr<storage::LogStore> store;
-    std::vector<spread::Item> kept_items;  // On its disk, if it is durable.
+    std::vector<spread::Item> persisted_items;  // On its disk, if it is durable.
     std::unique_ptr<Environment> environment;
     std::unique_ptr<daemon::Node> node;
     std::uint64_t life = 0;  // Goes up with every start and death.
--- a/tests/daemon/group_placement_test.cc
+++ b/tests/daemon/group_placement_test.cc
@@ -39,13 +39,13 @@
   for (std::uint64_t id = 1; id <= 30; ++id) {
     members.push_back(Member(id, "zone-" + std::to_string(id % 3)));
   }
-  std::map<NodeId, int> burden;
+  std::map<NodeId, int> replica_counts;
   for (const Configuration& group : PlaceGroups(members, 100, 3)) {
     for (NodeId voter : group.voters) {
-      ++burden[voter];
+      ++replica_counts[voter];
     }
   }
-  for (const auto& [member, count] : burden) {
+  for (const auto& [member, count] : replica_counts) {
     EXPECT_EQ(count, 10);
   }
 }
--- a/tests/daemon/poll_tracker_test.cc
+++ b/tests/daemon/poll_tracker_test.cc
@@ -15,29 +15,29 @@
   PollTracker polls;
   std::uint64_t first = polls.Begin();
   std::uint64_t second = polls.Begin();
-  EXPECT_TRUE(polls.Ended(At(1), second, true).take);
-  EXPECT_FALSE(polls.Ended(At(2), first, true).take);
-  EXPECT_TRUE(polls.Ended(At(3), polls.Begin(), true).take);
+  EXPECT_TRUE(polls.Ended(At(1), second, true).is_newest);
+  EXPECT_FALSE(polls.Ended(At(2), first, true).is_newest);
+  EXPECT_TRUE(polls.Ended(At(3), polls.Begin(), true).is_newest);
 }
 
 TEST(PollTrackerTest, OutageAndRecoveryAreReportedOnceWithTheAgeOfTheLastReply) {
   PollTracker polls;
-  EXPECT_FALSE(polls.Ended(At(0), polls.Begin(), true).contact)
+  EXPECT_FALSE(polls.Ended(At(0), polls.Begin(), true).reachable)
       << "initially reachable, so no change is reported";
   PollEnd lost = polls.Ended(At(3), polls.Begin(), false);
-  EXPECT_EQ(lost.contact, false);
+  EXPECT_EQ(lost.reachable, false);
   EXPECT_EQ(lost.age, absl::Seconds(3));
-  EXPECT_FALSE(lost.take);
-  EXPECT_FALSE(polls.Ended(At(4), polls.Begin(), false).contact);
+  EXPECT_FALSE(lost.is_newest);
+  EXPECT_FALSE(polls.Ended(At(4), polls.Begin(), false).reachable);
   PollEnd back = polls.Ended(At(5), polls.Begin(), true);
-  EXPECT_EQ(back.contact, true);
+  EXPECT_EQ(back.reachable, true);
   EXPECT_EQ(back.age, absl::Seconds(5));
 }
 
 TEST(PollTrackerTest, ServiceThatNeverRepliedIsReportedUnreachable) {
   PollTracker polls;
   PollEnd end = polls.Ended(At(2), polls.Begin(), false);
-  EXPECT_EQ(end.contact, false);
+  EXPECT_EQ(end.reachable, false);
   EXPECT_FALSE(end.age);
 }
 
@@ -46,7 +46,7 @@
   std::uint64_t first = polls.Begin();
   std::uint64_t second = polls.Begin();
   polls.Ended(At(1), second, true);
-  EXPECT_FALSE(polls.Ended(At(2), first, false).contact);
+  EXPECT_FALSE(polls.Ended(At(2), first, false).reachable);
 }
 
 }  // namespace
--- a/tests/proofs/planned_stop_test.cc
+++ b/tests/proofs/planned_stop_test.cc
@@ -74,7 +74,7 @@
   std::size_t stopping = seed % world.size();
   std::vector<std::shared_ptr<Told>> calls = StartCalls(proof, stopping);
   world.node(stopping)->BeginStop(world.queue().now());
-  EXPECT_TRUE(world.RunUntil([&] { return world.node(stopping)->MayExit(); }, kStopLimit))
+  EXPECT_TRUE(world.RunUntil([&] { return world.node(stopping)->CanExit(); }, kStopLimit))
       << DescribeGroups(world);
   for (const auto& call : calls) {
     ASSERT_TRUE(proof.Await(call));
--- a/tests/proofs/promises_test.cc
+++ b/tests/proofs/promises_test.cc
@@ -153,7 +153,7 @@
   ASSERT_EQ(told->end.outcome, CallState::kRan);
   for (std::size_t index = 0; index < world().size(); ++index) {
     world().node(index)->BeginStop(world().queue().now());
-    ASSERT_TRUE(world().RunUntil([&] { return world().node(index)->MayExit(); }, absl::Seconds(30)))
+    ASSERT_TRUE(world().RunUntil([&] { return world().node(index)->CanExit(); }, absl::Seconds(30)))
         << "daemon " << index;
     world().Kill(index);
     world().Restart(index);
@@ -482,7 +482,7 @@
     }
     world().node(index)->BeginStop(world().queue().now());
     ASSERT_TRUE(
-        world().RunUntil([&] { return world().node(index)->MayExit(); }, absl::Seconds(30)));
+        world().RunUntil([&] { return world().node(index)->CanExit(); }, absl::Seconds(30)));
     world().Kill(index);
     for (const auto& told : under_way) {
       ASSERT_TRUE(proof_->Await(told));
