--- a/src/base/big_endian.h
+++ b/src/base/big_endian.h
@@ -1,4 +1,4 @@
-// Numbers as bytes, the highest first, so that their texts sort as they do.
+// Big-endian encoding of integers, whose byte order preserves numeric order.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 namespace martenyard {
 
-/// @return the lowest `bytes` bytes of `value`.
+/// @return the lowest `bytes` bytes of `value`, most significant first.
 inline std::string BigEndian(std::uint64_t value, std::size_t bytes) {
   std::string text;
   for (std::size_t left = bytes; left > 0; --left) {
@@ -17,7 +17,7 @@
   return text;
 }
 
-/// @return the number that `text`, of 8 bytes at most, stands for.
+/// @return the number encoded by `text`, which has at most 8 bytes.
 inline std::uint64_t FromBigEndian(std::string_view text) {
   std::uint64_t value = 0;
   for (char byte : text) {
--- a/src/base/build_info.h
+++ b/src/base/build_info.h
@@ -1,12 +1,12 @@
-// Which build a process is, for logs, metrics and its peers.
+// Identifies the build of a process, for logs, metrics and peers.
 #pragma once
 
 #include <string>
 
 namespace martenyard {
 
-/// @return the commit that the build was made from; where there was no repository, a digest of its
-/// sources. Both are those of the last configuration of the build folder.
+/// @return the commit of the build, or a digest of its sources if built outside a repository, as of
+/// the last CMake configuration.
 std::string BuildName();
 
 }  // namespace martenyard
--- a/src/base/clock.h
+++ b/src/base/clock.h
@@ -1,4 +1,4 @@
-// The process's clock: steady, so that a jump of the machine's time of day moves no deadline.
+// The process's monotonic clock: adjustments of the system time do not move deadlines.
 #pragma once
 
 #include <chrono>
@@ -7,11 +7,11 @@
 
 namespace martenyard {
 
-/// @return the time of day at the process's start plus what the steady clock has run since. It
-/// never goes back; it is off by as much as the time of day was at the start.
+/// @return the system time at the first call plus the steady clock's time since. Never decreases;
+/// keeps any error that the system time had at the first call.
 absl::Time SteadyNow();
 
-/// @return the same clock's time for code that takes the standard library's.
+/// @return the steady clock's time as a standard library time point.
 inline std::chrono::steady_clock::time_point SteadyInstant() {
   return std::chrono::steady_clock::now();
 }
--- a/src/base/errors.h
+++ b/src/base/errors.h
@@ -1,5 +1,5 @@
-// How layers report failures: Boost.LEAF results that carry one typed error of the failing layer.
-// Each layer declares its own error struct beside its interface and converts errors from below.
+// Error handling with Boost.LEAF: results carry one typed error of the failing layer. Each layer
+// declares its own error struct next to its interface and translates errors of lower layers.
 #pragma once
 
 #include <boost/leaf.hpp>
@@ -10,13 +10,13 @@
 
 namespace leaf = boost::leaf;
 
-/// A value, or the id of an error whose typed payload a handler further up receives.
+/// A value, or an error id whose typed payload is passed to a handler up the call stack.
 template <typename T>
 using Result = leaf::result<T>;
 
 /// Runs `attempt`; on failure calls `on_error` with the layer's `Error` and returns its value.
-/// Errors of another type reach `on_error` as a default `Error` (the layer below forgot to
-/// convert).
+/// Errors of another type, which a lower layer failed to translate, reach `on_error` as a
+/// default-constructed `Error`.
 template <typename Error, typename Attempt, typename OnError>
 auto Recover(Attempt&& attempt, OnError&& on_error) {
   return leaf::try_handle_all(
@@ -24,8 +24,8 @@
       [&] { return on_error(Error{}); });
 }
 
-/// Runs `attempt`; turns the layer below's `Error` into one of this layer's.
-/// @param translate takes the error and returns what `leaf::new_error` gave for the new one.
+/// Runs `attempt` and translates an `Error` of a lower layer into one of this layer.
+/// @param translate takes the error and returns the result of `leaf::new_error` for the new one.
 template <typename Error, typename Attempt, typename Translate>
 auto TranslateError(Attempt&& attempt, Translate&& translate) -> decltype(attempt()) {
   using Outcome = decltype(attempt());
--- a/src/base/hash.cc
+++ b/src/base/hash.cc
@@ -9,7 +9,7 @@
 }
 
 double StableUnitPoint(std::string_view bytes, std::uint64_t seed) {
-  // As many bits as a double holds exactly: rounding can't reach 1.
+  // Keep the 53 bits a double represents exactly, so that rounding cannot yield 1.
   constexpr int kDroppedBits = 11;
   constexpr double kRange = 9007199254740992.0;  // 2^53.
   return static_cast<double>(StableHash(bytes, seed) >> kDroppedBits) / kRange;
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -8,7 +8,7 @@
 
 namespace martenyard {
 
-/// A value that identifies one kind of thing; `Tag` keeps different kinds from being mixed up.
+/// A strongly typed identifier; `Tag` makes identifiers of different kinds distinct types.
 template <typename Tag, typename Value>
 struct TypedId {
   Value value{};
@@ -30,7 +30,7 @@
   }
 };
 
-/// One life of one daemon's stored state: a daemon that lost its disk or memory gets a new one.
+/// Identifies a daemon's stored state: a daemon that lost its state gets a new id.
 using NodeId = TypedId<struct NodeTag, std::uint64_t>;
 /// One replicated log; programs are hashed to groups.
 using GroupId = TypedId<struct GroupTag, std::uint32_t>;
@@ -38,14 +38,13 @@
 using ProgramId = TypedId<struct ProgramTag, std::string>;
 /// The caller's Idempotency-Key, unique within its program.
 using CallKey = TypedId<struct CallKeyTag, std::string>;
-/// A partner's short name, as it stands in the settings.
+/// A partner's short name, from the settings.
 using PartnerName = TypedId<struct PartnerTag, std::string>;
-/// A model engine, tool or application back end, as the platform names it.
+/// The platform's name of a model engine, tool or application back end.
 using BackendName = TypedId<struct BackendTag, std::string>;
-/// One gateway's try to begin one call. Only a repetition of that very request carries it again: a
-/// gateway that restarted, or that gave the call up, must not be taken for the one that runs it.
+/// One gateway's attempt to start one call. Only retries of the same request reuse it, so that a
+/// gateway that restarted or abandoned the call is not mistaken for the one running it.
 using AdmissionId = TypedId<struct AdmissionTag, std::uint64_t>;
-/// A zone's name.
 using ZoneName = TypedId<struct ZoneTag, std::string>;
 
 /// No node; real ids are never zero.
--- a/src/base/logging.cc
+++ b/src/base/logging.cc
@@ -14,7 +14,7 @@
 
 constexpr char kTextPattern[] = "%D{%Y-%m-%dT%H:%M:%S.%qZ} %-5p %c: %m%n";
 
-/// One JSON object a line: time, level, part, message.
+/// Formats each event as one line with a JSON object: time, level, part, message.
 class JsonLayout : public log4cplus::Layout {
  public:
   void formatAndAppend(log4cplus::tostream& output,
--- a/src/base/logging.h
+++ b/src/base/logging.h
@@ -1,4 +1,4 @@
-// Structured logs over log4cplus: short sentences, each part of the daemon with a fixed prefix.
+// Logging through log4cplus, with one named logger per component.
 #pragma once
 
 #include <log4cplus/logger.h>
@@ -9,15 +9,14 @@
 
 namespace martenyard {
 
-/// How log lines are written.
 enum class LogFormat { kText, kJson };
 
 /// Sets up logging to standard error. Call once, before the first log line.
 /// @param level one of trace, debug, info, warn, error, off.
-/// @return false if the level is none of those.
+/// @return false if the level is unknown.
 bool InitLogging(std::string_view level, LogFormat format);
 
-/// @return the logger for one part of the program; its name is the fixed prefix of its lines.
+/// @return the logger of one component; its name prefixes its lines.
 log4cplus::Logger PartLogger(std::string_view prefix);
 
 }  // namespace martenyard
--- a/src/base/random.h
+++ b/src/base/random.h
@@ -1,4 +1,4 @@
-// Randomness for decision code: seeded, so that a seed replays a run.
+// Seeded random numbers for decision logic: the same seed reproduces a run.
 #pragma once
 
 #include <cstdint>
@@ -6,12 +6,12 @@
 
 namespace martenyard {
 
-/// A seeded generator. Not thread-safe; each owner has its own.
+/// A seeded generator. Not thread-safe.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
 
-  /// @return any 64-bit value but zero, so that it can serve as an id.
+  /// @return a nonzero 64-bit value, for use as an id.
   std::uint64_t NextId() {
     std::uint64_t id = engine_();
     return id == 0 ? 1 : id;
--- a/src/base/toml_reader.cc
+++ b/src/base/toml_reader.cc
@@ -26,14 +26,14 @@
   const toml::node* node = Take(key);
   if (node == nullptr) {
     if (required) {
-      Refuse(key, "is required, a text");
+      Refuse(key, "is required and must be a string");
     }
     return fallback;
   }
   if (auto text = node->value_exact<std::string>()) {
     return *text;
   }
-  Refuse(key, "must be a text in quotes");
+  Refuse(key, "must be a string in quotes");
   return fallback;
 }
 
@@ -45,8 +45,7 @@
   }
   auto value = node->value_exact<std::int64_t>();
   if (!value || *value < low || *value > high) {
-    Refuse(key,
-           "must be a whole number from " + std::to_string(low) + " to " + std::to_string(high));
+    Refuse(key, "must be an integer from " + std::to_string(low) + " to " + std::to_string(high));
     return fallback;
   }
   return *value;
--- a/src/base/toml_reader.h
+++ b/src/base/toml_reader.h
@@ -1,5 +1,5 @@
-// Reads checked values out of a TOML table: every key must be expected, of its type and in range.
-// The first fault is kept, in words for the person who wrote the file.
+// Validating reader for TOML tables: rejects unknown keys, wrong types and values out of range.
+// Keeps the first error, worded for the author of the file.
 #pragma once
 
 #include <toml++/toml.h>
@@ -12,11 +12,11 @@
 
 namespace martenyard {
 
-/// Reads one table. Read every key, then ask `Finish` of the outermost reader's `fault`.
+/// Reads one table. Read every key, call RefuseOthers(), then check the error string.
 class TomlReader {
  public:
-  /// @param path the table's place in the file, for messages; empty for the whole file.
-  /// @param fault receives the first fault; shared by readers of the tables within.
+  /// @param path the table's path in the file, for messages; empty for the root table.
+  /// @param fault receives the first error; shared with the readers of nested tables.
   TomlReader(const toml::table& table, std::string path, std::string* fault);
 
   std::string Text(std::string_view key, bool required, std::string fallback = "");
@@ -29,9 +29,9 @@
   std::vector<const toml::table*> Tables(std::string_view key);
   /// @return the table `key`, or null when it is absent.
   const toml::table* Table(std::string_view key);
-  /// Reports keys that nobody read.
+  /// Reports keys that have not been read as unknown.
   void RefuseOthers();
-  /// Reports a fault of the caller's own finding.
+  /// Reports an error found by the caller.
   void Refuse(std::string_view key, const std::string& allowed);
   std::string PathOf(std::string_view key) const;
 
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -66,7 +66,7 @@
     ::testing::Values(
         BadSettings{"UnknownKey", "zone =", "zoen = \"x\"\nzone =", "'daemon.zoen': is not known"},
         BadSettings{"UnknownSection", "[platform]", "[platfrom]\n[platform]", "'platfrom'"},
-        BadSettings{"WrongType", "\"sapporo-hall\"", "7", "must be a text"},
+        BadSettings{"WrongType", "\"sapporo-hall\"", "7", "must be a string"},
         BadSettings{"BadAddress", "127.0.0.1:8101", "localhost:8101", "IPv4 address and a port"},
         BadSettings{"MissingKey", "key_value_url = \"http://127.0.0.1:2379\"", "",
                     "'platform.key_value_url': is required"},
