--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -1,4 +1,4 @@
-// Virtual time: runs tasks in the order of their times; equal times in the order added.
+// Event queue in virtual time: runs tasks by time, and in insertion order at equal times.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +22,7 @@
   void After(absl::Duration delay, std::function<void()> task) {
     At(now_ + delay, std::move(task));
   }
-  /// Runs all tasks up to `end`; the time is then `end`.
+  /// Runs all tasks due up to `end` and advances the time to `end`.
   void RunUntil(absl::Time end) {
     while (!tasks_.empty() && tasks_.begin()->first.first <= end) {
       auto first = tasks_.extract(tasks_.begin());
--- a/src/sim/sim_platform.h
+++ b/src/sim/sim_platform.h
@@ -1,4 +1,4 @@
-// The platform inside the simulator: key-value service, engines, tools, with faults and records.
+// Simulated platform: key-value service, engines and tools, with fault injection and recording.
 #pragma once
 
 #include <functional>
@@ -15,25 +15,25 @@
 
 namespace martenyard::sim {
 
-/// What happens to a platform part's requests; `probability`s are per request.
+/// Faults injected into a platform service's requests; the fractions are probabilities per request.
 struct PlatformFaults {
-  bool down = false;           ///< Connections are refused: nothing takes effect.
-  double lost_answer = 0.0;    ///< It takes effect, the answer never comes.
+  bool down = false;           ///< Connections are refused; requests have no effect.
+  double lost_answer = 0.0;    ///< The request takes effect, but its reply is lost.
   double broken_stream = 0.0;  ///< Engines: the stream ends early.
   absl::Duration extra_delay;
 };
 
-/// State shared by all daemons' clients of one simulated platform.
+/// The state of one simulated platform, shared by the clients of all daemons.
 class SimPlatform {
  public:
   SimPlatform(EventQueue& queue, std::uint64_t seed) : queue_(queue), random_(seed) {}
 
-  /// One run of a tool or application call, as the service saw it.
+  /// One execution of a tool or application call, recorded by the service.
   struct ServiceRun {
     std::string key;
     absl::Time at;
   };
-  /// One start of a model request at an engine.
+  /// One model request started at an engine.
   struct EngineStart {
     std::string engine;
     std::string request_id;
@@ -53,10 +53,10 @@
   absl::Duration list_lag = absl::Seconds(1);
   bool engines_refuse_when_leaving = true;
 
-  // What really happened: the judges' evidence.
+  // Recorded events, checked by tests.
   std::vector<ServiceRun> service_runs;
   std::vector<EngineStart> engine_starts;
-  std::map<BackendName, std::set<std::string>> contexts;  ///< Held, by engine.
+  std::map<BackendName, std::set<std::string>> contexts;  ///< Context ids held, by engine.
   std::uint64_t key_value_requests = 0;
 
  private:
@@ -71,10 +71,10 @@
   std::int64_t revision_ = 0;
 };
 
-/// @return the answer an engine gives to these messages: a function of the prompt alone.
+/// @return the engines' output for these messages, which depends only on the prompt.
 std::string SimAnswer(const std::string& messages);
 
-/// Runs callbacks only while the daemon they belong to lives and is not frozen.
+/// Runs a callback in its daemon: dropped if that process has died, deferred while it is frozen.
 using Deliver = std::function<void(std::function<void()>)>;
 
 std::unique_ptr<clients::KeyValue> CreateSimKeyValue(SimPlatform& platform, Deliver deliver);
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-/// One daemon's world: everything goes through the event queue.
+/// One daemon's environment, with all I/O through the event queue.
 class World::Environment : public daemon::NodeEnvironment {
  public:
   Environment(World& world, std::size_t index, std::uint64_t life) : world_(world), index_(index) {
@@ -166,7 +166,7 @@
     absl::Duration delay = same_zone ? options_.same_zone_delay : options_.other_zone_delay;
     delay += network_.jitter * random_.Uniform();
     queue_.After(delay, [this, from, receiver, arrive] {
-      // A cut also loses what was under way.
+      // A partition also drops messages in flight.
       bool up = daemons_[receiver].node != nullptr;
       if (up && Reachable(daemons_[from], daemons_[receiver])) {
         Deliver(receiver, daemons_[receiver].life, [receiver, arrive] { arrive(receiver); });
@@ -185,7 +185,7 @@
 }
 
 void World::TellOfDeath(std::size_t index) {
-  // The dead process's kernel resets its connections; whoever is cut off hears nothing.
+  // The kernel resets a dead process's connections; partitioned peers do not notice.
   std::uint64_t life = daemons_[index].life;
   for (std::size_t other = 0; other < daemons_.size(); ++other) {
     if (other == index || daemons_[other].node == nullptr) {
@@ -197,7 +197,7 @@
                    if (still_dead && Reachable(daemons_[index], daemons_[other])) {
                      absl::Time checked_at = queue_.now();
                      Deliver(other, other_life, [this, index, other, checked_at] {
-                       // As in wire::Transport: news from before a freeze is no news.
+                       // As in wire::Transport, ignore checks made before a freeze.
                        if (queue_.now() - checked_at < kDeathCheckLifetime) {
                          daemons_[other].node->OnEndpointDead(queue_.now(),
                                                               daemons_[index].endpoint, checked_at);
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -1,5 +1,5 @@
-// Many daemons' nodes in one thread and in virtual time, over a network with faults. The nodes'
-// code is the daemon's own, unchanged; a seed replays a run.
+// Simulates many daemons' nodes in one thread and virtual time over a network with faults. Runs the
+// daemon's own node code; the same seed reproduces a run.
 #pragma once
 
 #include <cstdint>
@@ -20,21 +20,21 @@
 
 namespace martenyard::sim {
 
-/// The network between daemons.
+/// Faults of the network between daemons.
 struct NetworkFaults {
   double drop = 0.0;       ///< Probability that a message is lost.
   double duplicate = 0.0;  ///< Probability that it arrives twice.
-  absl::Duration jitter;   ///< Each message is late by up to this much: messages cross.
+  absl::Duration jitter;   ///< Maximum extra delay per message; can reorder messages.
 };
 
 struct WorldOptions {
   absl::Duration same_zone_delay = absl::Microseconds(200);
   absl::Duration other_zone_delay = absl::Microseconds(1500);
   absl::Duration tick = absl::Milliseconds(10);
-  bool count_bytes = false;  ///< Encodes every message to learn its size: slow.
+  bool count_bytes = false;  ///< Encode every message to count its bytes (slow).
 };
 
-/// What one daemon sent since the world began.
+/// Traffic sent by one daemon since the start of the simulation.
 struct TrafficStats {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;
@@ -57,24 +57,24 @@
   daemon::Node* node(std::size_t index) { return daemons_[index].node.get(); }
   const TrafficStats& traffic(std::size_t index) const { return daemons_[index].traffic; }
 
-  /// The process dies at once; what was stored stays if the daemon is durable.
+  /// Kills the process; stored data survives if the daemon is durable.
   void Kill(std::size_t index);
-  /// Starts it again: a durable one with its store, another one as a new node.
+  /// Restarts the daemon: with its store if it is durable, otherwise as a new node.
   void Restart(std::size_t index);
-  /// Nothing runs and nothing is answered until `Thaw`; messages wait, as in a socket's buffer.
+  /// Suspends the daemon until `Thaw`; incoming messages are buffered, as in a socket.
   void Freeze(std::size_t index);
   void Thaw(std::size_t index);
-  /// Cuts the zone off from all others, or heals it.
+  /// Partitions the zone from all others; `HealZone` reverts it.
   void CutZone(const ZoneName& zone) { cut_zones_.insert(zone); }
   void HealZone(const ZoneName& zone) { cut_zones_.erase(zone); }
   void HealAll();
 
   void Run(absl::Duration time);
-  /// Runs until `condition` holds. @return false if it does not within `limit`.
+  /// Runs until `condition` holds. @return false if `limit` expires first.
   bool RunUntil(const std::function<bool()>& condition, absl::Duration limit);
-  /// @return true when every group has a leader that is up and current.
+  /// @return true if every group has a running, current leader.
   bool AllGroupsLed();
-  /// Runs the node's effects after a test or a bench called into it.
+  /// Performs the node's pending effects after a direct call into it.
   void Settle(std::size_t index);
 
  private:
@@ -86,19 +86,19 @@
     daemon::NodeOptions options;
     NodeId identity;
     std::unique_ptr<storage::LogStore> store;
-    std::vector<spread::Item> persisted_items;  // On its disk, if it is durable.
+    std::vector<spread::Item> persisted_items;  // On disk, if the daemon is durable.
     std::unique_ptr<Environment> environment;
     std::unique_ptr<daemon::Node> node;
-    std::uint64_t life = 0;  // Goes up with every start and death.
+    std::uint64_t life = 0;  // Incremented at every start and kill.
     bool frozen = false;
-    std::deque<std::function<void()>> waiting;  // While frozen.
+    std::deque<std::function<void()>> waiting;  // Tasks deferred while frozen.
     TrafficStats traffic;
   };
 
   void Boot(std::size_t index);
   void TellOfDeath(std::size_t index);
   void ScheduleTick(std::size_t index);
-  /// Runs `task` in the daemon if this life of it still runs.
+  /// Runs `task` in the daemon unless its process has ended since `life`.
   void Deliver(std::size_t index, std::uint64_t life, std::function<void()> task);
   void Transmit(std::size_t from, const wire::Endpoint& to, std::size_t bytes,
                 std::function<void(std::size_t)> arrive);
@@ -112,7 +112,8 @@
   std::vector<Daemon> daemons_;
   std::map<wire::Endpoint, std::size_t> by_endpoint_;
   std::set<ZoneName> cut_zones_;
-  std::vector<std::unique_ptr<Environment>> past_environments_;  // Messages under way use them.
+  std::vector<std::unique_ptr<Environment>>
+      past_environments_;  // Kept for messages in flight that refer to them.
 };
 
 }  // namespace martenyard::sim
