--- a/src/sim/sim_platform.cc
+++ b/src/sim/sim_platform.cc
@@ -11,7 +11,7 @@
 constexpr absl::Duration kServiceTime = absl::Milliseconds(10);
 constexpr absl::Duration kChunkTime = absl::Milliseconds(20);
 constexpr std::size_t kChunkBytes = 8;
-constexpr absl::Duration kAnswerLost = absl::Seconds(2);
+constexpr absl::Duration kLostReplyTimeout = absl::Seconds(2);
 
 }  // namespace
 
@@ -81,13 +81,13 @@
       Answer(kKeyValueDelay, std::move(on_answer), {clients::KeyValueStatus::kRefused, {}});
       return;
     }
-    bool lost = platform_.random_.Uniform() < faults.lost_answer;
+    bool lost = platform_.random_.Uniform() < faults.lost_reply;
     platform_.queue_.After(
         kKeyValueDelay + faults.extra_delay,
         [this, lost, on_answer = std::move(on_answer), effect = std::move(effect)] {
           clients::KeyValueAnswer answer = effect();
           if (lost) {
-            Answer(kAnswerLost, on_answer, {clients::KeyValueStatus::kUncertain, {}});
+            Answer(kLostReplyTimeout, on_answer, {clients::KeyValueStatus::kUncertain, {}});
           } else {
             Answer(kKeyValueDelay, on_answer, std::move(answer));
           }
@@ -144,11 +144,11 @@
     platform_.contexts[engine].insert(request.context_id);
     std::string rest = SimAnswer(request.messages).substr(request.resume_text.size());
     bool breaks = platform_.random_.Uniform() < platform_.backend_faults.broken_stream;
-    std::size_t whole = breaks ? rest.size() / 2 : rest.size();
+    std::size_t sent_bytes = breaks ? rest.size() / 2 : rest.size();
     absl::Duration delay = platform_.backend_faults.extra_delay;
-    for (std::size_t from = 0; from < whole; from += kChunkBytes) {
+    for (std::size_t from = 0; from < sent_bytes; from += kChunkBytes) {
       delay += kChunkTime;
-      std::string chunk = rest.substr(from, std::min(kChunkBytes, whole - from));
+      std::string chunk = rest.substr(from, std::min(kChunkBytes, sent_bytes - from));
       platform_.queue_.After(delay, [live = live_, deliver = deliver_, handle, on_text, chunk] {
         deliver([live, handle, on_text, chunk] {
           if (live->contains(handle)) {
@@ -174,14 +174,14 @@
       Finish(handle, kServiceTime, on_done, outcome);
       return handle;
     }
-    bool lost = platform_.random_.Uniform() < platform_.backend_faults.lost_answer;
+    bool lost = platform_.random_.Uniform() < platform_.backend_faults.lost_reply;
     platform_.queue_.After(kServiceTime, [this, key = request.request_key] {
       platform_.service_runs.push_back({key, platform_.queue_.now()});
     });
     outcome.status =
         lost ? clients::ServiceOutcome::Status::kUnknown : clients::ServiceOutcome::Status::kRan;
     outcome.result = R"({"served":")" + request.request_key + "\"}";
-    absl::Duration delay = lost ? kAnswerLost : kServiceTime * 2;
+    absl::Duration delay = lost ? kLostReplyTimeout : kServiceTime * 2;
     Finish(handle, delay + platform_.backend_faults.extra_delay, on_done, outcome);
     return handle;
   }
--- a/src/sim/sim_platform.h
+++ b/src/sim/sim_platform.h
@@ -18,7 +18,7 @@
 /// Faults injected into a platform service's requests; the fractions are probabilities per request.
 struct PlatformFaults {
   bool down = false;           ///< Connections are refused; requests have no effect.
-  double lost_answer = 0.0;    ///< The request takes effect, but its reply is lost.
+  double lost_reply = 0.0;     ///< The request takes effect, but its reply is lost.
   double broken_stream = 0.0;  ///< Engines: the stream ends early.
   absl::Duration extra_delay;
 };
--- a/src/sim/world.cc
+++ b/src/sim/world.cc
@@ -23,9 +23,10 @@
 /// One daemon's environment, with all I/O through the event queue.
 class World::Environment : public daemon::NodeEnvironment {
  public:
-  Environment(World& world, std::size_t index, std::uint64_t life) : world_(world), index_(index) {
-    auto deliver = [&world, index, life](std::function<void()> task) {
-      world.Deliver(index, life, std::move(task));
+  Environment(World& world, std::size_t index, std::uint64_t generation)
+      : world_(world), index_(index) {
+    auto deliver = [&world, index, generation](std::function<void()> task) {
+      world.Deliver(index, generation, std::move(task));
     };
     key_value_ = CreateSimKeyValue(world.platform_, deliver);
     backends_ = CreateSimBackendClient(world.platform_, deliver);
@@ -86,15 +87,15 @@
 
 void World::Boot(std::size_t index) {
   Daemon& daemon = daemons_[index];
-  ++daemon.life;
+  ++daemon.generation;
   if (!daemon.durable || daemon.store == nullptr) {
     daemon.store = storage::CreateMemoryLogStore(daemon.durable);
     daemon.identity = NodeId(random_.NextId());
   }
   if (daemon.environment != nullptr) {
-    past_environments_.push_back(std::move(daemon.environment));
+    previous_environments_.push_back(std::move(daemon.environment));
   }
-  daemon.environment = std::make_unique<Environment>(*this, index, daemon.life);
+  daemon.environment = std::make_unique<Environment>(*this, index, daemon.generation);
   membership::MemberInfo self;
   self.id = daemon.identity;
   self.peer = daemon.endpoint;
@@ -109,11 +110,11 @@
 }
 
 void World::ScheduleTick(std::size_t index) {
-  std::uint64_t life = daemons_[index].life;
+  std::uint64_t generation = daemons_[index].generation;
   absl::Duration delay = options_.tick * (0.9 + 0.2 * random_.Uniform());
-  queue_.After(delay, [this, index, life] {
+  queue_.After(delay, [this, index, generation] {
     Daemon& daemon = daemons_[index];
-    if (daemon.life != life) {
+    if (daemon.generation != generation) {
       return;
     }
     if (!daemon.frozen) {
@@ -130,9 +131,9 @@
   }
 }
 
-void World::Deliver(std::size_t index, std::uint64_t life, std::function<void()> task) {
+void World::Deliver(std::size_t index, std::uint64_t generation, std::function<void()> task) {
   Daemon& daemon = daemons_[index];
-  if (daemon.life != life) {
+  if (daemon.generation != generation) {
     return;
   }
   if (daemon.frozen) {
@@ -169,7 +170,7 @@
       // A partition also drops messages in flight.
       bool up = daemons_[receiver].node != nullptr;
       if (up && Reachable(daemons_[from], daemons_[receiver])) {
-        Deliver(receiver, daemons_[receiver].life, [receiver, arrive] { arrive(receiver); });
+        Deliver(receiver, daemons_[receiver].generation, [receiver, arrive] { arrive(receiver); });
       }
     });
   }
@@ -177,26 +178,26 @@
 
 void World::Kill(std::size_t index) {
   Daemon& daemon = daemons_[index];
-  ++daemon.life;
+  ++daemon.generation;
   daemon.frozen = false;
   daemon.waiting.clear();
   daemon.node.reset();
-  TellOfDeath(index);
+  NotifyPeersOfDeath(index);
 }
 
-void World::TellOfDeath(std::size_t index) {
+void World::NotifyPeersOfDeath(std::size_t index) {
   // The kernel resets a dead process's connections; partitioned peers do not notice.
-  std::uint64_t life = daemons_[index].life;
+  std::uint64_t generation = daemons_[index].generation;
   for (std::size_t other = 0; other < daemons_.size(); ++other) {
     if (other == index || daemons_[other].node == nullptr) {
       continue;
     }
     queue_.After(options_.other_zone_delay * 3,
-                 [this, index, life, other, other_life = daemons_[other].life] {
-                   bool still_dead = daemons_[index].life == life;
+                 [this, index, generation, other, other_generation = daemons_[other].generation] {
+                   bool still_dead = daemons_[index].generation == generation;
                    if (still_dead && Reachable(daemons_[index], daemons_[other])) {
                      absl::Time checked_at = queue_.now();
-                     Deliver(other, other_life, [this, index, other, checked_at] {
+                     Deliver(other, other_generation, [this, index, other, checked_at] {
                        // As in wire::Transport, ignore checks made before a freeze.
                        if (queue_.now() - checked_at < kDeathCheckLifetime) {
                          daemons_[other].node->OnEndpointDead(queue_.now(),
@@ -224,9 +225,9 @@
   daemon.frozen = false;
   std::deque<std::function<void()>> waiting = std::move(daemon.waiting);
   daemon.waiting.clear();
-  std::uint64_t life = daemon.life;
+  std::uint64_t generation = daemon.generation;
   for (auto& task : waiting) {
-    Deliver(index, life, std::move(task));
+    Deliver(index, generation, std::move(task));
   }
 }
 
--- a/src/sim/world.h
+++ b/src/sim/world.h
@@ -89,17 +89,17 @@
     std::vector<spread::Item> persisted_items;  // On disk, if the daemon is durable.
     std::unique_ptr<Environment> environment;
     std::unique_ptr<daemon::Node> node;
-    std::uint64_t life = 0;  // Incremented at every start and kill.
+    std::uint64_t generation = 0;  // Incremented at every start and kill.
     bool frozen = false;
     std::deque<std::function<void()>> waiting;  // Tasks deferred while frozen.
     TrafficStats traffic;
   };
 
   void Boot(std::size_t index);
-  void TellOfDeath(std::size_t index);
+  void NotifyPeersOfDeath(std::size_t index);
   void ScheduleTick(std::size_t index);
-  /// Runs `task` in the daemon unless its process has ended since `life`.
-  void Deliver(std::size_t index, std::uint64_t life, std::function<void()> task);
+  /// Runs `task` in the daemon unless its process has ended since `generation`.
+  void Deliver(std::size_t index, std::uint64_t generation, std::function<void()> task);
   void Transmit(std::size_t from, const wire::Endpoint& to, std::size_t bytes,
                 std::function<void(std::size_t)> arrive);
   bool Reachable(const Daemon& from, const Daemon& to) const;
@@ -113,7 +113,7 @@
   std::map<wire::Endpoint, std::size_t> by_endpoint_;
   std::set<ZoneName> cut_zones_;
   std::vector<std::unique_ptr<Environment>>
-      past_environments_;  // Kept for messages in flight that refer to them.
+      previous_environments_;  // Kept for messages in flight that refer to them.
 };
 
 }  // namespace martenyard::sim
--- a/tests/clients/key_value_test.cc
+++ b/tests/clients/key_value_test.cc
@@ -72,7 +72,7 @@
     platform_.key_value_faults = {};
     return *answer;
   }
-  void LoseNextAnswer() override { platform_.key_value_faults.lost_answer = 1.0; }
+  void LoseNextAnswer() override { platform_.key_value_faults.lost_reply = 1.0; }
 
  private:
   sim::EventQueue queue_;
--- a/tests/proofs/promises_test.cc
+++ b/tests/proofs/promises_test.cc
@@ -365,10 +365,10 @@
 // ---- A request that may not be repeated runs at most once ----
 
 TEST_F(PromiseTest, CallThatMayNotBeRepeatedRunsOnceThoughItsAnswerIsLost) {
-  world().platform().backend_faults.lost_answer = 1.0;
+  world().platform().backend_faults.lost_reply = 1.0;
   auto told = RunCall(0, "notice", CallKind::kApplication, false);
   EXPECT_EQ(told->end.outcome, CallState::kUnknown);
-  world().platform().backend_faults.lost_answer = 0.0;
+  world().platform().backend_faults.lost_reply = 0.0;
   for (std::size_t gateway = 0; gateway < 3; ++gateway) {
     auto again = RunCall(gateway, "notice", CallKind::kApplication, false);
     EXPECT_EQ(again->end.outcome, CallState::kUnknown);
@@ -391,7 +391,7 @@
 
 TEST_F(PromiseTest, RestartedGatewayIsNotTakenForTheOneThatRanTheCall) {
   std::size_t gateway = proof_->NotLeaderOf(kProgram);
-  world().platform().backend_faults.lost_answer = 1.0;
+  world().platform().backend_faults.lost_reply = 1.0;
   proof_->Call(gateway, kProgram, "gift", CallKind::kApplication, false);
   world().RunUntil([&] { return proof_->RunsOf(kProgram, "gift") > 0; }, absl::Seconds(5));
   // A durable daemon comes back under its own NodeId, at once, and is asked the same again.
@@ -612,7 +612,7 @@
 }
 
 TEST_F(PromiseTest, RollWhoseAnswersAreLostIsResolvedByReadingBack) {
-  world().platform().key_value_faults.lost_answer = 0.5;
+  world().platform().key_value_faults.lost_reply = 0.5;
   for (std::uint64_t epoch = 2; epoch <= 6; ++epoch) {
     auto answer = proof_->Roll(0, kTournament, epoch, "v" + std::to_string(epoch));
     if (!answer || answer->code == bundle::OperatorAnswer::Code::kUnknown ||
--- a/tests/proofs/random_faults_test.cc
+++ b/tests/proofs/random_faults_test.cc
@@ -288,7 +288,7 @@
         world_.platform().key_value_faults = {};
         break;
       case FaultKind::kLoseServiceAnswers:
-        backends.lost_answer = 0.4;
+        backends.lost_reply = 0.4;
         break;
       case FaultKind::kBreakStreams:
         backends.broken_stream = 0.4;
