--- a/src/base/toml_reader.cc
+++ b/src/base/toml_reader.cc
@@ -84,14 +84,14 @@
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    Refuse(key, "must be a list of texts");
+    Refuse(key, "must be a list of strings");
     return texts;
   }
   for (const toml::node& element : *array) {
     if (auto text = element.value_exact<std::string>()) {
       texts.push_back(*text);
     } else {
-      Refuse(key, "must be a list of texts");
+      Refuse(key, "must be a list of strings");
     }
   }
   return texts;
