--- a/emulator/config.cc
+++ b/emulator/config.cc
@@ -28,7 +28,7 @@
   } else {
     backend.service_time = absl::Milliseconds(reader.Integer("service_time_ms", 0, 3600000, 5));
   }
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   return backend;
 }
 
@@ -56,7 +56,7 @@
       config.backends.push_back(ReadBackend(*backend, kind, &fault));
     }
   }
-  root.RefuseOthers();
+  root.ReportUnknownKeys();
   if (!fault.empty()) {
     return leaf::new_error(ConfigError{fault});
   }
--- a/src/base/toml_reader.cc
+++ b/src/base/toml_reader.cc
@@ -11,87 +11,89 @@
   return path_.empty() ? std::string(key) : path_ + "." + std::string(key);
 }
 
-void TomlReader::Refuse(std::string_view key, const std::string& allowed) {
+void TomlReader::ReportError(std::string_view key, const std::string& allowed) {
   if (fault_->empty()) {
     *fault_ = "key '" + PathOf(key) + "': " + allowed;
   }
 }
 
-const toml::node* TomlReader::Take(std::string_view key) {
-  taken_.insert(std::string(key));
+const toml::node* TomlReader::MarkRead(std::string_view key) {
+  read_keys_.insert(std::string(key));
   return table_.get(key);
 }
 
 std::string TomlReader::Text(std::string_view key, bool required, std::string fallback) {
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     if (required) {
-      Refuse(key, "is required and must be a string");
+      ReportError(key, "is required and must be a string");
     }
     return fallback;
   }
   if (auto text = node->value_exact<std::string>()) {
     return *text;
   }
-  Refuse(key, "must be a string in quotes");
+  ReportError(key, "must be a string in quotes");
   return fallback;
 }
 
 std::int64_t TomlReader::Integer(std::string_view key, std::int64_t low, std::int64_t high,
                                  std::int64_t fallback) {
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     return fallback;
   }
   auto value = node->value_exact<std::int64_t>();
   if (!value || *value < low || *value > high) {
-    Refuse(key, "must be an integer from " + std::to_string(low) + " to " + std::to_string(high));
+    ReportError(key,
+                "must be an integer from " + std::to_string(low) + " to " + std::to_string(high));
     return fallback;
   }
   return *value;
 }
 
 double TomlReader::Number(std::string_view key, double low, double high, double fallback) {
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     return fallback;
   }
   auto value = node->is_number() ? node->value<double>() : std::nullopt;
   if (!value || !(*value >= low && *value <= high)) {
-    Refuse(key, "must be a number from " + std::to_string(low) + " to " + std::to_string(high));
+    ReportError(key,
+                "must be a number from " + std::to_string(low) + " to " + std::to_string(high));
     return fallback;
   }
   return *value;
 }
 
 bool TomlReader::Boolean(std::string_view key, bool fallback) {
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     return fallback;
   }
   if (auto value = node->value_exact<bool>()) {
     return *value;
   }
-  Refuse(key, "must be true or false");
+  ReportError(key, "must be true or false");
   return fallback;
 }
 
 std::vector<std::string> TomlReader::Texts(std::string_view key) {
   std::vector<std::string> texts;
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     return texts;
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    Refuse(key, "must be a list of strings");
+    ReportError(key, "must be a list of strings");
     return texts;
   }
   for (const toml::node& element : *array) {
     if (auto text = element.value_exact<std::string>()) {
       texts.push_back(*text);
     } else {
-      Refuse(key, "must be a list of strings");
+      ReportError(key, "must be a list of strings");
     }
   }
   return texts;
@@ -99,45 +101,45 @@
 
 std::vector<const toml::table*> TomlReader::Tables(std::string_view key) {
   std::vector<const toml::table*> tables;
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     return tables;
   }
   const toml::array* array = node->as_array();
   if (array == nullptr) {
-    Refuse(key, "must be a list of tables, written [[" + PathOf(key) + "]]");
+    ReportError(key, "must be a list of tables, written [[" + PathOf(key) + "]]");
     return tables;
   }
   for (const toml::node& element : *array) {
     if (const toml::table* table = element.as_table()) {
       tables.push_back(table);
     } else {
-      Refuse(key, "must be a list of tables, written [[" + PathOf(key) + "]]");
+      ReportError(key, "must be a list of tables, written [[" + PathOf(key) + "]]");
     }
   }
   return tables;
 }
 
 const toml::table* TomlReader::Table(std::string_view key) {
-  const toml::node* node = Take(key);
+  const toml::node* node = MarkRead(key);
   if (node == nullptr) {
     return nullptr;
   }
   const toml::table* table = node->as_table();
   if (table == nullptr) {
-    Refuse(key, "must be a table, written [" + PathOf(key) + "]");
+    ReportError(key, "must be a table, written [" + PathOf(key) + "]");
   }
   return table;
 }
 
-void TomlReader::RefuseOthers() {
+void TomlReader::ReportUnknownKeys() {
   for (const auto& [key, node] : table_) {
-    if (!taken_.contains(key.str())) {
+    if (!read_keys_.contains(key.str())) {
       std::string allowed;
-      for (const std::string& known : taken_) {
+      for (const std::string& known : read_keys_) {
         allowed += (allowed.empty() ? "" : ", ") + known;
       }
-      Refuse(key.str(), "is not known; allowed here: " + allowed);
+      ReportError(key.str(), "is not known; allowed here: " + allowed);
     }
   }
 }
--- a/src/base/toml_reader.h
+++ b/src/base/toml_reader.h
@@ -12,7 +12,7 @@
 
 namespace martenyard {
 
-/// Reads one table. Read every key, call RefuseOthers(), then check the error string.
+/// Reads one table. Read every key, call ReportUnknownKeys(), then check the error string.
 class TomlReader {
  public:
   /// @param path the table's path in the file, for messages; empty for the root table.
@@ -30,18 +30,18 @@
   /// @return the table `key`, or null when it is absent.
   const toml::table* Table(std::string_view key);
   /// Reports keys that have not been read as unknown.
-  void RefuseOthers();
+  void ReportUnknownKeys();
   /// Reports an error found by the caller.
-  void Refuse(std::string_view key, const std::string& allowed);
+  void ReportError(std::string_view key, const std::string& allowed);
   std::string PathOf(std::string_view key) const;
 
  private:
-  const toml::node* Take(std::string_view key);
+  const toml::node* MarkRead(std::string_view key);
 
   const toml::table& table_;
   std::string path_;
   std::string* fault_;
-  std::set<std::string, std::less<>> taken_;
+  std::set<std::string, std::less<>> read_keys_;
 };
 
 }  // namespace martenyard
--- a/src/bundle/bundle.cc
+++ b/src/bundle/bundle.cc
@@ -38,7 +38,7 @@
   spec.models = reader.Texts("models");
   spec.tools = reader.Texts("tools");
   spec.applications = reader.Texts("applications");
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   return spec;
 }
 
@@ -48,9 +48,9 @@
   spec.name = reader.Text("name", /*required=*/true);
   spec.token_hash = reader.Text("token_hash", /*required=*/true);
   if (spec.token_hash.size() != kTokenHashDigits || !IsHexadecimal(spec.token_hash)) {
-    reader.Refuse("token_hash", "must be a SHA-256 hash of 64 lower-case hexadecimal digits");
+    reader.ReportError("token_hash", "must be a SHA-256 hash of 64 lower-case hexadecimal digits");
   }
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   return spec;
 }
 
@@ -59,7 +59,7 @@
   ModelSpec spec;
   spec.name = reader.Text("name", /*required=*/true);
   spec.version = reader.Text("version", /*required=*/true);
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   return spec;
 }
 
@@ -69,7 +69,7 @@
   spec.name = reader.Text("name", /*required=*/true);
   spec.model = reader.Text("model", /*required=*/true);
   spec.version = reader.Text("version", /*required=*/true);
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   return spec;
 }
 
@@ -78,7 +78,7 @@
   LendSpec spec;
   spec.idle_engines = reader.Boolean("idle_engines", false);
   spec.max_share = reader.Number("max_share", 0.0, 1.0, 1.0);
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   return spec;
 }
 
@@ -86,11 +86,12 @@
   std::set<std::string> names;
   for (const ProgramSpec& program : bundle.programs) {
     if (!names.insert(program.name).second) {
-      reader.Refuse("program", "'" + program.name + "' is defined twice; names must be unique");
+      reader.ReportError("program",
+                         "'" + program.name + "' is defined twice; names must be unique");
     }
   }
   if (bundle.programs.empty()) {
-    reader.Refuse("program", "at least one [[program]] is required");
+    reader.ReportError("program", "at least one [[program]] is required");
   }
 }
 
@@ -147,7 +148,7 @@
   if (const toml::table* lend = reader.Table("lend")) {
     bundle.lend = ReadLend(*lend, &fault);
   }
-  reader.RefuseOthers();
+  reader.ReportUnknownKeys();
   CheckProgramNames(bundle, reader);
   if (!fault.empty()) {
     return leaf::new_error(BundleError{BundleError::Code::kMalformed, fault});
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -37,7 +37,7 @@
   return [field](TomlReader& reader, std::string_view name, Settings& settings) {
     auto endpoint = wire::ParseEndpoint(reader.Text(name, /*required=*/true));
     if (!endpoint) {
-      reader.Refuse(name, "must be an IPv4 address and a port, like \"127.0.0.1:7101\"");
+      reader.ReportError(name, "must be an IPv4 address and a port, like \"127.0.0.1:7101\"");
       return;
     }
     settings.*field = *endpoint;
@@ -69,7 +69,7 @@
       for (const std::string& choice : choices) {
         allowed += " \"" + choice + "\"";
       }
-      reader.Refuse(name, allowed);
+      reader.ReportError(name, allowed);
       return;
     }
     settings.*field = value;
@@ -80,7 +80,7 @@
   for (const std::string& text : reader.Texts(name)) {
     auto endpoint = wire::ParseEndpoint(text);
     if (!endpoint) {
-      reader.Refuse(name, "must list IPv4 addresses with ports, like [\"127.0.0.1:7101\"]");
+      reader.ReportError(name, "must list IPv4 addresses with ports, like [\"127.0.0.1:7101\"]");
       return;
     }
     settings.seeds.push_back(*endpoint);
@@ -170,25 +170,25 @@
     partner.name = PartnerName(reader.Text("name", /*required=*/true));
     partner.public_key = reader.Text("public_key", /*required=*/true);
     if (!bundle::IsPublicKey(partner.public_key)) {
-      reader.Refuse("public_key", "must be an Ed25519 public key in 64 hexadecimal digits");
+      reader.ReportError("public_key", "must be an Ed25519 public key in 64 hexadecimal digits");
     }
-    reader.RefuseOthers();
+    reader.ReportUnknownKeys();
     settings.partners.push_back(std::move(partner));
   }
   if (settings.partners.empty()) {
-    root.Refuse("partner", "at least one [[partner]] with name and public_key is required");
+    root.ReportError("partner", "at least one [[partner]] with name and public_key is required");
   }
 }
 
 void CheckTogether(TomlReader& root, const Settings& settings) {
   if (settings.replicas % 2 == 0) {
-    root.Refuse("cluster.replicas", "must be 1, 3 or 5");
+    root.ReportError("cluster.replicas", "must be 1, 3 or 5");
   }
   if (settings.bootstrap_daemons < settings.replicas) {
-    root.Refuse("cluster.bootstrap_daemons", "must be at least cluster.replicas");
+    root.ReportError("cluster.bootstrap_daemons", "must be at least cluster.replicas");
   }
   if (settings.election_timeout < settings.heartbeat_interval * 3) {
-    root.Refuse("timing.election_timeout_ms", "must be at least 3 times timing.heartbeat_ms");
+    root.ReportError("timing.election_timeout_ms", "must be at least 3 times timing.heartbeat_ms");
   }
 }
 
@@ -219,10 +219,10 @@
         key.read(reader, key.name, settings);
       }
     }
-    reader.RefuseOthers();
+    reader.ReportUnknownKeys();
   }
   ReadPartners(root, settings, &fault);
-  root.RefuseOthers();
+  root.ReportUnknownKeys();
   CheckTogether(root, settings);
   if (!fault.empty()) {
     return Fault(name, fault);
