--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -30,7 +30,7 @@
   }
 };
 
-/// Identifies a daemon's stored state: a daemon that lost its state gets a new id.
+/// Identifies a daemon's stored state: a daemon that lost its disk or memory gets a new id.
 using NodeId = TypedId<struct NodeTag, std::uint64_t>;
 /// One replicated log; programs are hashed to groups.
 using GroupId = TypedId<struct GroupTag, std::uint32_t>;
@@ -45,6 +45,7 @@
 /// One gateway's attempt to start one call. Only retries of the same request reuse it, so that a
 /// gateway that restarted or abandoned the call is not mistaken for the one running it.
 using AdmissionId = TypedId<struct AdmissionTag, std::uint64_t>;
+/// A failure domain, as named in the settings.
 using ZoneName = TypedId<struct ZoneTag, std::string>;
 
 /// No node; real ids are never zero.
--- a/src/base/logging.h
+++ b/src/base/logging.h
@@ -9,6 +9,7 @@
 
 namespace martenyard {
 
+/// Plain text lines, or one JSON object per line.
 enum class LogFormat { kText, kJson };
 
 /// Sets up logging to standard error. Call once, before the first log line.
