--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -16,7 +16,7 @@
 constexpr char kLog[] = "daemon";
 constexpr absl::Duration kTick = absl::Milliseconds(10);
 constexpr char kStoreFolder[] = "/log";
-/// Bundles in force and the directory of groups.
+/// Active bundles and the group directory.
 constexpr char kItemsFile[] = "/items";
 
 leaf::error_id Failed(const std::string& detail) { return leaf::new_error(DaemonError{detail}); }
@@ -34,7 +34,7 @@
 Result<void> Daemon::Start() {
   BOOST_LEAF_AUTO(store, OpenStore());
   store_ = std::move(store);
-  BOOST_LEAF_AUTO(identity, TakeIdentity());
+  BOOST_LEAF_AUTO(identity, LoadOrCreateIdentity());
 
   transport_ = std::make_unique<wire::Transport>(
       loop_, [this](const std::string& payload) { OnFrame(payload); },
@@ -86,7 +86,7 @@
       });
 }
 
-Result<NodeId> Daemon::TakeIdentity() {
+Result<NodeId> Daemon::LoadOrCreateIdentity() {
   return TranslateError<storage::StorageError>(
       [&]() -> Result<NodeId> {
         BOOST_LEAF_AUTO(stored, store_->Load());
@@ -115,7 +115,7 @@
   options.group.max_waiting_calls = static_cast<std::size_t>(settings_.max_waiting_per_program);
   options.membership.probe_interval = settings_.probe_interval;
   options.membership.probe_timeout = settings_.probe_interval * 0.4;
-  options.membership.suspicion = settings_.suspicion;
+  options.membership.suspicion_timeout = settings_.suspicion;
   options.replace_after = settings_.replace_after;
   options.coordinator.grant_lease = settings_.grant_lease;
   options.coordinator.max_active = static_cast<std::size_t>(settings_.max_active_calls);
@@ -124,18 +124,18 @@
   return options;
 }
 
-void Daemon::KeepItems(const std::vector<spread::Item>& items) {
+void Daemon::PersistItems(const std::vector<spread::Item>& items) {
   if (settings_.data_dir.empty()) {
     return;
   }
   std::string failure = storage::ReplaceFile(settings_.data_dir + kItemsFile, wire::Seal(items));
   if (!failure.empty()) {
-    MARTENYARD_LOG_WARN(kLog, "Bundles and the directory of groups are not kept, "
-                                  << failure << "; the next start asks the key-value service.");
+    MARTENYARD_LOG_WARN(kLog, "Could not persist bundles and the group directory: "
+                                  << failure << "; the next start reads the key-value service.");
   }
 }
 
-std::vector<spread::Item> Daemon::KeptItems() {
+std::vector<spread::Item> Daemon::PersistedItems() {
   std::optional<std::string> bytes;
   if (!settings_.data_dir.empty()) {
     bytes = storage::ReadSmallFile(settings_.data_dir + kItemsFile);
@@ -145,8 +145,8 @@
   }
   auto items = wire::Unseal<std::vector<spread::Item>>(*bytes);
   if (!items) {
-    MARTENYARD_LOG_WARN(kLog, "The file of bundles and of the directory of groups is damaged ("
-                                  << bytes->size() << " bytes); the key-value service is asked.");
+    MARTENYARD_LOG_WARN(kLog, "The file of bundles and the group directory is corrupt ("
+                                  << bytes->size() << " bytes); reading the key-value service.");
   }
   return items.value_or(std::vector<spread::Item>{});
 }
@@ -177,7 +177,7 @@
         },
         [](const storage::StorageError& error) { return error.detail; });
     if (!failure_.empty()) {
-      // What is on the disk is unknown now; a restart finds out, guessing would not.
+      // The stored state is unknown after a failed write; a restart reloads it.
       MARTENYARD_LOG_ERROR(kLog, "The log store failed: " << failure_);
       loop_.Stop();
     }
@@ -219,8 +219,8 @@
 }
 
 void Daemon::CheckStop() {
-  if (node_->MayExit()) {
-    // A call has ended once its answer is with the server; its caller has it only later.
+  if (node_->CanExit()) {
+    // A call ends when its response is handed to the server, before the caller has received it.
     server_->StopListening();
     if (server_->unfinished_responses() == 0) {
       loop_.Stop();
@@ -228,7 +228,7 @@
     }
   }
   if (SteadyNow() >= stop_deadline_) {
-    std::string waits = node_->WhyNotExit();
+    std::string waits = node_->StopBlockers();
     MARTENYARD_LOG_WARN(kLog, "The stop limit is over; " << (waits.empty() ? "" : waits + ", ")
                                                          << server_->unfinished_responses()
                                                          << " requests without a whole answer.");
@@ -241,15 +241,15 @@
 void Daemon::OnFrame(const std::string& payload) {
   auto envelope = wire::Decode<Envelope>(payload);
   if (!envelope) {
-    MARTENYARD_LOG_WARN(kLog, "Dropped a frame that can't be read.");
+    MARTENYARD_LOG_WARN(kLog, "Dropped a frame that could not be decoded.");
     return;
   }
   node_->OnEnvelope(SteadyNow(), *envelope);
 }
 
 void Daemon::OnDatagram(const std::string& payload) {
-  // One that can't be read may come from anybody and is like a lost one, which membership expects;
-  // a line for each would let anybody fill the log.
+  // Undecodable datagrams are dropped without a log line: membership tolerates loss, and any sender
+  // could flood the log.
   if (auto packet = wire::Decode<membership::Packet>(payload)) {
     node_->OnPacket(SteadyNow(), *packet);
   }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-// A node on real sockets, disks and clocks: martenyardd's inside.
+// Runs a node on real sockets, disks and clocks; the implementation of martenyardd.
 #pragma once
 
 #include <memory>
@@ -17,7 +17,7 @@
 
 namespace martenyard::daemon {
 
-/// Why a daemon could not start, or had to stop: one line for the operator.
+/// Why a daemon failed to start or had to stop: one line for the operator.
 struct DaemonError {
   std::string detail;
 };
@@ -29,16 +29,16 @@
 
   /// Opens the store and the ports. Errors: DaemonError.
   Result<void> Start();
-  /// Runs until a planned stop is over. Errors: DaemonError, when the store failed.
+  /// Runs until a planned stop completes. Errors: DaemonError, when the store failed.
   Result<void> Run();
-  /// Begins a planned stop; thread-safe. A second call ends the process's work at once.
+  /// Begins a planned stop; a second call stops immediately. Thread-safe.
   void RequestStop();
   wire::Endpoint peer_endpoint() const { return peer_; }
   wire::Endpoint caller_endpoint() const { return callers_; }
 
  private:
   Result<std::unique_ptr<storage::LogStore>> OpenStore();
-  Result<NodeId> TakeIdentity();
+  Result<NodeId> LoadOrCreateIdentity();
   NodeOptions MakeOptions() const;
   void StartNode(NodeId identity);
   void OnHttp(http::Request request, std::shared_ptr<http::Responder> responder);
@@ -53,8 +53,8 @@
   void SendDatagram(const wire::Endpoint& to, const membership::Packet& packet) override;
   clients::KeyValue& KeyValueService() override { return *key_value_; }
   clients::BackendClient& Backends() override { return *backends_; }
-  void KeepItems(const std::vector<spread::Item>& items) override;
-  std::vector<spread::Item> KeptItems() override;
+  void PersistItems(const std::vector<spread::Item>& items) override;
+  std::vector<spread::Item> PersistedItems() override;
 
   settings::Settings settings_;
   wire::EventLoop loop_;
--- a/src/daemon/node.cc
+++ b/src/daemon/node.cc
@@ -21,11 +21,11 @@
 constexpr std::size_t kLoadReportTargets = 16;
 constexpr std::size_t kReleasesPerRound = 32;
 constexpr absl::Duration kManageInterval = absl::Milliseconds(200);
-constexpr absl::Duration kSweepPatience = absl::Seconds(2);
-/// Election timeouts between the beginnings of two hand-overs of a group: twice as long as one of
-/// them may take.
-constexpr int kHandOverTimeouts = 6;
-/// A learner this close behind may vote: the rest reaches it while the change is on its way.
+constexpr absl::Duration kSweepTimeout = absl::Seconds(2);
+/// Minimum time between the starts of two leadership transfers of a group, in election timeouts:
+/// twice the maximum duration of a transfer.
+constexpr int kTransferPauseTimeouts = 6;
+/// Maximum number of entries a learner may lag behind and still be promoted to voter.
 constexpr consensus::LogIndex kCaughtUpEntries = 64;
 
 bool HasPrefix(const std::string& text, std::string_view prefix) {
@@ -71,7 +71,7 @@
 Result<void> Node::Start(absl::Time now) {
   now_ = now;
   BOOST_LEAF_AUTO(stored, store_.Load());
-  TakeKeptItems();
+  LoadPersistedItems();
   return replica_host_.Restore(now, stored);
 }
 
@@ -80,7 +80,7 @@
 void Node::OnEnvelope(absl::Time now, const Envelope& envelope) {
   now_ = std::max(now_, now);
   if (envelope.to != kNoNode && envelope.to != Self()) {
-    return;  // Meant for an earlier life of this address.
+    return;  // Meant for a previous node at this address.
   }
   Handle(envelope.from, envelope.from_endpoint, envelope.body);
 }
@@ -96,7 +96,7 @@
   if (!dead) {
     return;
   }
-  replica_host_.OnMemberDead(now_, *dead, checked_at);
+  replica_host_.OnMemberDown(now_, *dead, checked_at);
   OnMembersChanged();
 }
 
@@ -111,7 +111,7 @@
   router_.Tick(now_);
   dispatcher_.Tick(now_);
   coordinator_.Tick();
-  group_log_.NoteChanges(replica_host_, membership_);
+  group_log_.LogChanges(replica_host_, membership_);
   for (Periodic& periodic : periodics_) {
     if (now_ >= periodic.next) {
       periodic.next = now_ + periodic.interval * (0.9 + 0.2 * random_.Uniform());
@@ -132,10 +132,10 @@
     for (dispatch::OutgoingPermitUpdate& news : dispatcher_.TakeUpdates()) {
       Send(news.to, std::move(news.update));
     }
-    BOOST_LEAF_AUTO(effects, replica_host_.Pump([this](GroupMessageTo message) {
+    BOOST_LEAF_AUTO(effects, replica_host_.Pump([this](OutgoingGroupMessage message) {
       Send(message.to, std::move(message.message));
     }));
-    for (GroupMessageTo& message : effects.messages) {
+    for (OutgoingGroupMessage& message : effects.messages) {
       Send(message.to, std::move(message.message));
     }
     for (ledger::OutgoingLedgerReply& reply : effects.replies) {
@@ -188,18 +188,18 @@
     local_.push_back(std::move(envelope));
     return;
   }
-  // A member that is wrongly believed dead must still be reached by its group.
-  if (const membership::MemberInfo* member = membership_.FindEvenDead(to)) {
+  // A member wrongly declared dead must stay reachable for its group.
+  if (const membership::MemberInfo* member = membership_.FindIncludingDead(to)) {
     environment_.SendFrame(member->peer, envelope);
   }
 }
 
 void Node::FlushMembership() {
   membership::MembershipEffects effects = membership_.TakeEffects();
-  for (const membership::PacketTo& packet : effects.packets) {
+  for (const membership::OutgoingPacket& packet : effects.packets) {
     environment_.SendDatagram(packet.to, packet.packet);
   }
-  for (membership::MemberListTo& list : effects.lists) {
+  for (membership::OutgoingMemberList& list : effects.lists) {
     environment_.SendFrame(list.to,
                            {Self(), membership_.self().peer, kNoNode, std::move(list.list)});
   }
@@ -211,10 +211,10 @@
   }
   std::vector<spread::Item> changes = spread_.TakeChanges();
   for (const spread::Item& item : changes) {
-    TakeItem(item);
+    ApplyItem(item);
   }
   if (!changes.empty()) {
-    KeepItems();
+    PersistItems();
   }
 }
 
@@ -232,7 +232,7 @@
   }
   for (const membership::MemberInfo& member : before) {
     if (membership_.StatusOf(member.id) == membership::MemberStatus::kDead) {
-      MARTENYARD_LOG_INFO("membership", "Daemon " << member.peer.ToString() << " is gone.");
+      MARTENYARD_LOG_INFO("membership", "Daemon " << member.peer.ToString() << " is down.");
       router_.OnMemberRemoved(now_, member.id);
     }
   }
@@ -240,16 +240,16 @@
   RefreshEngines();
 }
 
-// ---- Spread items: the group directory and the bundles in force ----
+// ---- Gossiped items: the group directory and the active bundles ----
 
 bool Node::ValidateItem(const spread::Item& item) const {
   if (!HasPrefix(item.key, kRollItemPrefix)) {
     return item.key == kDirectoryItem || HasPrefix(item.key, kGroupItemPrefix);
   }
   auto roll = wire::Decode<bundle::SignedRoll>(item.value);
-  bool named_right = roll && item.key == kRollItemPrefix + roll->statement.partner.value &&
+  bool key_matches = roll && item.key == kRollItemPrefix + roll->statement.partner.value &&
                      item.version == roll->statement.epoch;
-  return named_right && Recover<bundle::BundleError>(
+  return key_matches && Recover<bundle::BundleError>(
                             [&]() -> Result<bool> {
                               BOOST_LEAF_CHECK(bundle::VerifyRoll(bundles_.partners(), *roll));
                               return true;
@@ -257,7 +257,7 @@
                             [](const bundle::BundleError&) { return false; });
 }
 
-void Node::TakeItem(const spread::Item& item) {
+void Node::ApplyItem(const spread::Item& item) {
   if (item.key == kDirectoryItem) {
     if (auto directory = wire::Decode<std::vector<consensus::Configuration>>(item.value)) {
       AdoptDirectory(*directory);
@@ -292,23 +292,23 @@
   }
 }
 
-void Node::TakeKeptItems() {
-  for (const spread::Item& item : environment_.KeptItems()) {
-    // As if a member had sent it: a roll's signature is checked, and the service may have a newer.
+void Node::LoadPersistedItems() {
+  for (const spread::Item& item : environment_.PersistedItems()) {
+    // Validated like an item received from a peer; the key-value service may have a newer one.
     if (ValidateItem(item)) {
       spread_.Publish(item, {});
     } else {
-      MARTENYARD_LOG_WARN(kLog, "The kept item " << item.key << " is not valid and passed over.");
+      MARTENYARD_LOG_WARN(kLog, "Ignored the invalid persisted item " << item.key << ".");
     }
   }
 }
 
-void Node::KeepItems() {
+void Node::PersistItems() {
   std::vector<spread::Item> items;
   for (const auto& [key, item] : spread_.items()) {
     items.push_back(item);
   }
-  environment_.KeepItems(items);
+  environment_.PersistItems(items);
 }
 
 void Node::AdoptDirectory(const std::vector<consensus::Configuration>& directory) {
@@ -316,10 +316,10 @@
     GroupId group(static_cast<std::uint32_t>(index));
     AdoptGroup(group, 0, directory[index]);
     if (directory[index].IsVoter(Self())) {
-      replica_host_.Found(now_, group, directory[index]);
+      replica_host_.CreateInitialReplica(now_, group, directory[index]);
     }
   }
-  MARTENYARD_LOG_INFO(kLog, "Groups are placed: " << directory.size() << ".");
+  MARTENYARD_LOG_INFO(kLog, "Placed groups: " << directory.size() << ".");
 }
 
 void Node::AdoptGroup(GroupId group, std::uint64_t version,
@@ -331,7 +331,7 @@
   directory_versions_[group] = version;
   directory_[group] = present;
   router_.SetReplicas(group, present.voters);
-  // A replica that was taken out of its group may never hear of it from the group itself.
+  // A replica removed from its group may never receive the configuration that removes it.
   ledger::GroupReplica* replica = replica_host_.Find(group);
   bool stale = replica != nullptr && version > 0 && !present.IsVoter(Self()) &&
                !present.IsLearner(Self()) && replica->raft().commit_index() <= version &&
@@ -365,7 +365,7 @@
     return;
   }
   rolls_.Poll([this, poll = key_value_polls_.Begin()](bool answered) {
-    TellContact("key-value service", key_value_polls_.Ended(Now(), poll, answered));
+    LogReachability("key-value service", key_value_polls_.Ended(Now(), poll, answered));
   });
   if (!directory_.empty()) {
     return;
@@ -385,7 +385,7 @@
     if (placed.empty()) {
       return;
     }
-    // Whoever writes first decides; every daemon then reads what is there.
+    // The first conditional write wins; every daemon then reads its result.
     environment_.KeyValueService().PutIf(kDirectoryKey, 0, wire::Encode(placed),
                                          [](const clients::KeyValueReply&) {});
   });
@@ -396,26 +396,26 @@
   environment_.Backends().FetchMachines(
       [this, poll](std::optional<std::vector<clients::Backend>> machines) {
         PollEnd end = machine_polls_.Ended(Now(), poll, machines.has_value());
-        TellContact("machine list", end);
-        if (end.take) {
+        LogReachability("machine list", end);
+        if (end.is_newest) {
           backends_.SetMachines(Now(), std::move(*machines));
           RefreshEngines();
         }
       });
 }
 
-void Node::TellContact(const char* service, const PollEnd& end) {
-  if (!end.contact) {
+void Node::LogReachability(const char* service, const PollEnd& end) {
+  if (!end.reachable) {
     return;
   }
   std::string age =
       end.age ? absl::StrCat(absl::ToInt64Milliseconds(*end.age), " ms ago") : "never";
-  if (*end.contact) {
+  if (*end.reachable) {
     MARTENYARD_LOG_INFO(
-        kLog, "The " << service << " answers again; the answer before came " << age << ".");
+        kLog, "The " << service << " is reachable again; its previous reply came " << age << ".");
   } else {
-    MARTENYARD_LOG_WARN(kLog, "The " << service << " does not answer; its last answer came " << age
-                                     << ", and what it told stays in use.");
+    MARTENYARD_LOG_WARN(kLog, "The " << service << " is unreachable; its last reply came " << age
+                                     << ", and its last data stays in use.");
   }
 }
 
@@ -448,7 +448,7 @@
     }
   }
   if (stopping_) {
-    HandOverLeaderships();
+    TransferLeaderships();
   }
 }
 
@@ -469,15 +469,15 @@
     ReplicaView view;
     view.node = member;
     membership::MemberStatus status = membership_.StatusOf(member);
-    bool dead_long = status == membership::MemberStatus::kDead &&
-                     membership_.DeadSince(member) + options_.replace_after <= now_ &&
-                     raft.LastContact(member) + options_.replace_after <= now_;
-    view.gone = member != Self() && dead_long;
-    // A leaving daemon without a data folder takes its replica's memory with it.
-    const membership::MemberInfo* info = membership_.FindEvenDead(member);
-    bool volatile_leaver =
+    bool dead_beyond_limit = status == membership::MemberStatus::kDead &&
+                             membership_.DeadSince(member) + options_.replace_after <= now_ &&
+                             raft.LastContact(member) + options_.replace_after <= now_;
+    view.gone = member != Self() && dead_beyond_limit;
+    // A leaving daemon without a data directory loses its replica's state.
+    const membership::MemberInfo* info = membership_.FindIncludingDead(member);
+    bool leaving_without_storage =
         status == membership::MemberStatus::kLeaving && info != nullptr && !info->durable;
-    view.gone = view.gone || volatile_leaver;
+    view.gone = view.gone || leaving_without_storage;
     view.caught_up = raft.MatchIndex(member) + kCaughtUpEntries >= raft.last_index();
     views.push_back(view);
   }
@@ -532,7 +532,7 @@
   auto candidates = backends_.EnginesFor(Now(), partner, service, bundles_);
   std::map<BackendName, int> counts = coordinator_.CountByEngine();
   for (gateway::EngineCandidate& candidate : candidates) {
-    // Reports lag: what this daemon itself has there is known better.
+    // Load reports lag, so they are raised to this daemon's own count.
     int own = counts[candidate.backend.name];
     int reported = candidate.view.in_flight + candidate.view.queued;
     candidate.view.in_flight += std::max(0, own - reported);
@@ -554,7 +554,7 @@
   return spec == nullptr ? kDefaultPriority : spec->priority;
 }
 
-// ---- Contexts of programs that are gone ----
+// ---- Contexts of finished programs ----
 
 void Node::SendReleases() {
   for (const auto& [group, replica] : replica_host_.replicas()) {
@@ -607,7 +607,7 @@
     by_group[GroupOf(program)].programs.push_back(program);
   }
   for (auto& [group, check] : by_group) {
-    SendLedgerRequest(group, std::move(check), Now() + kSweepPatience,
+    SendLedgerRequest(group, std::move(check), Now() + kSweepTimeout,
                       [this, url = engine.url](const gateway::LedgerResult& answer) {
                         if (answer.status != gateway::LedgerResult::Status::kAnswered) {
                           return;
@@ -627,25 +627,26 @@
     return;
   }
   stopping_ = true;
-  MARTENYARD_LOG_INFO(kLog, "Stopping: no new calls, handing over.");
+  MARTENYARD_LOG_INFO(kLog, "Stopping: rejecting new calls, transferring leaderships.");
   coordinator_.StopAdmitting();
   membership_.Leave();
   RefreshEngines();
 }
 
-void Node::HandOverLeaderships() {
+void Node::TransferLeaderships() {
   for (const auto& [group, replica] : replica_host_.replicas()) {
     consensus::Raft& raft = replica->raft();
     if (!raft.IsLeader()) {
       continue;
     }
-    HandOver& last = hand_overs_[group];
+    LeadershipTransfer& last = leadership_transfers_[group];
     if (raft.IsTransferringLeadership()) {
-      raft.TransferLeadership(last.target);  // The order may have been lost.
+      raft.TransferLeadership(last.target);  // The previous message may have been lost.
       continue;
     }
-    // A target that did not take over may never do so; in between calls store their results.
-    if (now_ < last.begun + options_.group.raft.election_timeout * kHandOverTimeouts) {
+    // Pause between transfers, so that calls can store their results if a target fails to take
+    // over.
+    if (now_ < last.begun + options_.group.raft.election_timeout * kTransferPauseTimeouts) {
       continue;
     }
     NodeId successor = SuccessorFor(raft, last.target);
@@ -653,11 +654,11 @@
       continue;
     }
     last = {successor, now_};
-    MARTENYARD_LOG_INFO(kLog, "Handing group "
-                                  << group.value << " over to "
-                                  << membership_.FindEvenDead(successor)->peer.ToString()
-                                  << ", whose log reaches " << raft.MatchIndex(successor) << " of "
-                                  << raft.last_index() << ".");
+    MARTENYARD_LOG_INFO(kLog, "Transferring leadership of group "
+                                  << group.value << " to "
+                                  << membership_.FindIncludingDead(successor)->peer.ToString()
+                                  << ", whose match index is " << raft.MatchIndex(successor)
+                                  << " of " << raft.last_index() << ".");
     raft.TransferLeadership(successor);
   }
 }
@@ -676,15 +677,15 @@
 
 bool Node::MustStayFor(const ledger::GroupReplica& replica) const {
   const consensus::Configuration& configuration = replica.raft().configuration();
-  bool can_hand_over = live_.all.size() >= 2;
-  if (replica.raft().IsLeader() && can_hand_over && configuration.voters.size() > 1) {
+  bool can_transfer = live_.all.size() >= 2;
+  if (replica.raft().IsLeader() && can_transfer && configuration.voters.size() > 1) {
     return true;
   }
   bool replacement_exists = live_.all.size() >= static_cast<std::size_t>(options_.replicas);
   return !store_.IsDurable() && replacement_exists && configuration.IsVoter(Self());
 }
 
-bool Node::MayExit() const {
+bool Node::CanExit() const {
   if (coordinator_.active() > 0) {
     return false;
   }
@@ -693,7 +694,7 @@
                       [this](const auto& entry) { return MustStayFor(*entry.second); });
 }
 
-std::string Node::WhyNotExit() const {
+std::string Node::StopBlockers() const {
   std::vector<std::string> reasons;
   if (coordinator_.active() > 0) {
     reasons.push_back(absl::StrCat(coordinator_.active(), " calls under way"));
--- a/src/daemon/replica_host.h
+++ b/src/daemon/replica_host.h
@@ -1,4 +1,4 @@
-// All group replicas of one daemon over one log store: one synced write for all groups a round.
+// All group replicas of one daemon on one log store, with one synced write per round.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +17,13 @@
 
 namespace martenyard::daemon {
 
-struct GroupMessageTo {
+struct OutgoingGroupMessage {
   NodeId to;
   GroupMessage message;
 };
 
 struct HostEffects {
-  std::vector<GroupMessageTo> messages;
+  std::vector<OutgoingGroupMessage> messages;
   std::vector<ledger::OutgoingLedgerReply> replies;
 };
 
@@ -32,22 +32,23 @@
   ReplicaHost(NodeId self, const ledger::GroupOptions& options, storage::LogStore& store,
               std::uint64_t seed);
 
-  /// Starts the replicas that were stored. Errors: the store's.
+  /// Starts the stored replicas. Errors: the store's.
   Result<void> Restore(absl::Time now, const storage::StoredNode& stored);
-  /// Starts a replica as one of a new group's first voters. Ignored when the group is known here.
-  void Found(absl::Time now, GroupId group, const consensus::Configuration& configuration);
+  /// Creates a replica as an initial voter of a new group. Does nothing if the group is known.
+  void CreateInitialReplica(absl::Time now, GroupId group,
+                            const consensus::Configuration& configuration);
   void OnMessage(absl::Time now, NodeId from, const GroupMessage& message);
   /// @return false when this daemon has no replica of the group.
   bool OnRequest(absl::Time now, NodeId from, const ledger::LedgerRequest& request);
-  void OnMemberDead(absl::Time now, NodeId member, absl::Time died_before);
+  void OnMemberDown(absl::Time now, NodeId member, absl::Time died_before);
   void Tick(absl::Time now);
-  /// Forgets a group whose committed configuration no longer names this daemon.
+  /// Removes a group whose committed configuration no longer contains this daemon.
   void Remove(GroupId group);
-  /// Stores, sends and applies until nothing is left to do.
-  /// @param send_early takes what may leave before the synced write: followers then write while
-  /// this daemon does.
+  /// Stores, sends and applies until no replica has work left.
+  /// @param send_early sends messages that need not wait for the synced write, so that followers
+  /// write in parallel with this daemon.
   /// Errors: the store's; then this host must not be used further.
-  Result<HostEffects> Pump(const std::function<void(GroupMessageTo)>& send_early);
+  Result<HostEffects> Pump(const std::function<void(OutgoingGroupMessage)>& send_early);
 
   const std::map<GroupId, std::unique_ptr<ledger::GroupReplica>>& replicas() const {
     return replicas_;
@@ -57,7 +58,7 @@
 
  private:
   void Add(absl::Time now, GroupId group, consensus::RestoredState restored);
-  Result<void> PumpRound(const std::function<void(GroupMessageTo)>& send_early,
+  Result<void> PumpRound(const std::function<void(OutgoingGroupMessage)>& send_early,
                          HostEffects& effects);
 
   NodeId self_;
