--- a/src/roles/exchange/change_sender.h
+++ b/src/roles/exchange/change_sender.h
@@ -31,9 +31,8 @@
     change_sender(wire::Transport& transport, const mirror_list& mirrors,
                   std::function<turn_ledger::Machine()> self);
 
-    /// @brief sends the changes after `from_revision`, or nothing while earlier data to the peer is unsent:
-    /// it
-    ///        requests them again
+    /// @brief sends the changes after `from_revision`, or nothing while earlier data to the peer is unsent;
+    ///        the peer requests them again
     /// @param[in] mirror  a valid index
     void send(const wire::Endpoint& to, std::size_t mirror, std::uint64_t from_revision);
 
--- a/src/storage/durable_mark.cc
+++ b/src/storage/durable_mark.cc
@@ -18,7 +18,7 @@
 constexpr char kMagic[] = "\xd5\x1c\x9e\x07\xb3\x62\xf8\x4a";
 constexpr std::size_t kMagicBytes = sizeof(kMagic) - 1;
 constexpr std::size_t kNumberBytes = 8;
-/// Exists once every write carries a mark. Absent in directories of earlier versions.
+/// Exists once every write carries a mark. Absent in directories of earlier builds.
 constexpr char kMarkedFile[] = "/DURABLE_MARKS";
 constexpr std::size_t kMarkBytes = kMagicBytes + 2 * kNumberBytes;
 
--- a/src/storage/log_store.h
+++ b/src/storage/log_store.h
@@ -76,7 +76,7 @@
  public:
   virtual ~LogStore() = default;
   /// Reads the stored state. Errors: StorageError::kDamaged; kLaterFormat: there are records of a
-  /// type that only a later version knows, and the data must be left unchanged.
+  /// type that only a later build knows, and the data must be left unchanged.
   virtual Result<StoredNode> Load() = 0;
   /// Stores the node's identity, once. Errors: StorageError::kForeignIdentity, kWriteFailed.
   virtual Result<void> SetIdentity(NodeId identity) = 0;
--- a/src/storage/rocksdb_log_store.cc
+++ b/src/storage/rocksdb_log_store.cc
@@ -162,7 +162,7 @@
       if (!IsKnownRecordType(key)) {
         return leaf::new_error(
             StorageError{StorageError::Code::kLaterFormat,
-                         "data folder " + folder_ + " contains records of a later version"});
+                         "data folder " + folder_ + " contains records of a later build"});
       }
       if (!LoadRecord(key, cursor->value().ToString(), node)) {
         return Damaged("data folder " + folder_ + " contains a damaged record");
--- a/tests/ledger/group_replica_test.cc
+++ b/tests/ledger/group_replica_test.cc
@@ -43,7 +43,7 @@
   std::vector<Command> commands_;
 };
 
-/// Guards against different outcomes on replicas of two versions: an earlier version applies
+/// Guards against different outcomes on replicas of two builds: an earlier build applies
 /// `kNotRun` of a later attempt as it is, this one as `kUnknown`.
 TEST_F(LeaderTest, LaterAttemptThatDidNotRunIsLoggedAsUnknown) {
   for (std::uint32_t attempt : {1U, 2U}) {
--- a/tests/storage/log_store_test.cc
+++ b/tests/storage/log_store_test.cc
@@ -389,9 +389,9 @@
             StorageError::Code::kCannotOpen);
 }
 
-// Guards against a downgrade that treats records of a later version as damage and so discards the
+// Guards against a downgrade that treats records of a later build as damage and so discards the
 // log with the machine's identity and vote.
-TEST(RocksDbLogStoreTest, RecordOfALaterVersionIsNotDamage) {
+TEST(RocksDbLogStoreTest, RecordOfALaterBuildIsNotDamage) {
   Folder folder;
   {
     auto store = std::move(*OpenRocksDbLogStore(folder.path()));
